--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -19,7 +19,8 @@
   sigaddset(&stop, SIGTERM);
   pthread_sigmask(SIG_BLOCK, &stop, nullptr);
   try {
-    if (argc != 2) throw std::invalid_argument("usage: toy_platform PORT");
+    if (argc != 2)
+      throw std::invalid_argument("usage: toy_platform PORT");
     const RunJob run = [](const std::string& id, const std::string& klass) {
       std::this_thread::sleep_for(std::chrono::milliseconds(300));
       std::printf("ran %s %s\n", klass.c_str(), id.c_str());
--- a/src/budgets/codec.cpp
+++ b/src/budgets/codec.cpp
@@ -64,7 +64,8 @@
   return UnpackMessage<Message>(bytes, [](const msgpack::object& object) {
     MessageFields in(object);
     const auto kind = in.Take<std::uint32_t>();
-    if (kind > 1) throw std::runtime_error("not a kind");
+    if (kind > 1)
+      throw std::runtime_error("not a kind");
     Message message;
     if (kind == 0) {
       message = TakeAsk(in);
--- a/src/budgets/division.cpp
+++ b/src/budgets/division.cpp
@@ -9,8 +9,10 @@
 std::vector<Units> Divide(Units whole, Units floors, const std::vector<Claim>& claims) {
   std::vector<Units> shares(claims.size(), 0);
   double weights = 0;
-  for (const Claim& c : claims) weights += c.weight;
-  if (weights <= 0 || whole <= 0) return shares;
+  for (const Claim& c : claims)
+    weights += c.weight;
+  if (weights <= 0 || whole <= 0)
+    return shares;
   std::vector<double> wants(claims.size());
   for (std::size_t i = 0; i < claims.size(); ++i) {
     wants[i] = std::max(static_cast<double>(std::max<Units>(0, claims[i].demand)),
@@ -39,7 +41,8 @@
   }
   // What rounding left over, one by one to who wants it, the largest want first.
   for (auto at = order.rbegin(); at != order.rend() && given < whole; ++at) {
-    if (static_cast<double>(shares[*at]) < wants[*at]) ++shares[*at], ++given;
+    if (static_cast<double>(shares[*at]) < wants[*at])
+      ++shares[*at], ++given;
   }
   return shares;
 }
--- a/src/budgets/grantor.cpp
+++ b/src/budgets/grantor.cpp
@@ -61,7 +61,8 @@
       const Micros learning_until = book.learning_until;
       book = Book{};
       book.window = window, book.learning_until = learning_until;
-      for (auto& [name, member] : members_) member.lines[i].demand = member.lines[i].target = 0;
+      for (auto& [name, member] : members_)
+        member.lines[i].demand = member.lines[i].target = 0;
       changed_ = true;
     }
     while (!book.ends.empty() && book.ends.begin()->first <= now_) {
@@ -78,10 +79,12 @@
     book->ends.erase({found->second.until, key});
     book->out.erase(found);
   }
-  if (share <= 0) return;
+  if (share <= 0)
+    return;
   book->sum += share;
   book->out.emplace(key, Out1{share, until});
-  if (until != kNever) book->ends.insert({until, key});
+  if (until != kNever)
+    book->ends.insert({until, key});
 }
 
 Units Grantor::OutOf(const Book& book, const Key& key) const {
@@ -98,14 +101,16 @@
 #ifdef ALDERSILL_PLANT_FORGETS_LIVES
       Count(&books_[i], before, 0, kNever);
 #else
-      if (s_.budgets[i].kind == Kind::kRate) Count(&books_[i], before, 0, kNever);
+      if (s_.budgets[i].kind == Kind::kRate)
+        Count(&books_[i], before, 0, kNever);
 #endif
     }
   }
   *member = Member{};
   member->epoch = ask.epoch;
   member->lines.resize(books_.size());
-  if (ask.digest != digest_) effects_->push_back(GrantorSays{{ErrorCode::kSettingsDiffer, name}});
+  if (ask.digest != digest_)
+    effects_->push_back(GrantorSays{{ErrorCode::kSettingsDiffer, name}});
 }
 
 void Grantor::On(const AskHeard& e) {
@@ -126,7 +131,8 @@
     return;
 #endif
   }
-  if (ask.epoch != member.epoch) BeginLife(e.from, &member, ask), changed_ = true;
+  if (ask.epoch != member.epoch)
+    BeginLife(e.from, &member, ask), changed_ = true;
   member.number = ask.number;
   member.heard_at = now_;
   if (ask.digest != digest_ || ask.lines.size() != books_.size()) {
@@ -142,35 +148,42 @@
     changed_ |= demand != member.lines[i].demand;
     member.lines[i].demand = demand;
   }
-  if (changed_ && now_ >= divide_at_) DivideAll();
+  if (changed_ && now_ >= divide_at_)
+    DivideAll();
   Answer answer{*term_, ask.epoch, ask.number, s_.grant, {}};
   const Key key{e.from, ask.epoch};
-  for (std::size_t i = 0; i < books_.size(); ++i) answer.lines.push_back(Deal(i, key, member, ask.lines[i]));
+  for (std::size_t i = 0; i < books_.size(); ++i)
+    answer.lines.push_back(Deal(i, key, member, ask.lines[i]));
   ++counters_.answered;
-  if (!ask.leaving) effects_->push_back(SendAnswer{e.from, std::move(answer)});
+  if (!ask.leaving)
+    effects_->push_back(SendAnswer{e.from, std::move(answer)});
 }
 
 AnswerLine Grantor::Deal(std::size_t i, const Key& key, const Member& member, const AskLine& line) {
   const Budget& b = s_.budgets[i];
   Book& book = books_[i];
   AnswerLine answer{0, line.window, Learning(i, now_)};
-  if (line.window != book.window) return answer;  // of an amount: by clocks that differ, just before or after
+  if (line.window != book.window)
+    return answer;  // of an amount: by clocks that differ, just before or after
   const Units shown_share = std::max<Units>(0, line.share);
   const Units shown = std::max({shown_share, line.beyond, Units{0}});
 #ifdef ALDERSILL_PLANT_GIVES_FIRST
   const Units others = 0;
   Units before = 0;
-  for (const auto& [name, m] : members_) before += &m == &member ? 0 : m.lines[i].target;
+  for (const auto& [name, m] : members_)
+    before += &m == &member ? 0 : m.lines[i].target;
   const Units room = std::max<Units>(0, Dealt(b, s_.instances) - before - others);
 #else
   const Units room = std::max<Units>(0, Dealt(b, s_.instances) - (book.sum - OutOf(book, key)));
 #endif
-  if (!member.leaving) answer.share = std::min(answer.renewal ? shown_share : member.lines[i].target, room);
+  if (!member.leaving)
+    answer.share = std::min(answer.renewal ? shown_share : member.lines[i].target, room);
   // It has what it shows, or what it is answered, whichever is more, until it shows which.
   Micros until = now_ + s_.grant;
   if (b.kind == Kind::kLevel)
     until += static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * s_.most_drift));
-  if (b.kind == Kind::kAmount) until = kNever;  // what may be used is used, until the window ends
+  if (b.kind == Kind::kAmount)
+    until = kNever;  // what may be used is used, until the window ends
   Count(&book, key, std::max(shown, answer.share), until);
   return answer;
 }
@@ -182,12 +195,14 @@
   // Who has nothing and was not heard of for long. Not sooner: its number tells its late asks from new ones.
   std::erase_if(members_, [this](const auto& item) {
     const auto& [name, member] = item;
-    if (member.heard_at + 2 * s_.grant >= now_) return false;
+    if (member.heard_at + 2 * s_.grant >= now_)
+      return false;
     return std::all_of(books_.begin(), books_.end(), [key = Key{name, member.epoch}, this](const Book& book) {
       return OutOf(book, key) == 0;
     });
   });
-  for (std::size_t i = 0; i < books_.size(); ++i) DivideOne(i);
+  for (std::size_t i = 0; i < books_.size(); ++i)
+    DivideOne(i);
 }
 
 void Grantor::DivideOne(std::size_t i) {
@@ -221,7 +236,8 @@
     kept_sum += kept[at], sum += shares[at];
   }
   const bool fits = kept_sum <= left && static_cast<double>(kept_sum) >= 0.99 * static_cast<double>(sum);
-  for (std::size_t at = 0; at < shares.size(); ++at) lines[at]->target = fits ? kept[at] : shares[at];
+  for (std::size_t at = 0; at < shares.size(); ++at)
+    lines[at]->target = fits ? kept[at] : shares[at];
 }
 
 }  // namespace aldersill::budgets
--- a/src/budgets/purse.cpp
+++ b/src/budgets/purse.cpp
@@ -35,13 +35,15 @@
 }
 
 Micros Purse::next_due() const {
-  if (left_) return repeats_ > 0 ? due_ : kNever;
+  if (left_)
+    return repeats_ > 0 ? due_ : kNever;
   return lapsed_ ? due_ : std::min(due_, until_);
 }
 
 int Purse::Index(std::string_view budget) const {
   for (std::size_t i = 0; i < s_.budgets.size(); ++i) {
-    if (s_.budgets[i].name == budget) return static_cast<int>(i);
+    if (s_.budgets[i].name == budget)
+      return static_cast<int>(i);
   }
   return -1;
 }
@@ -49,15 +51,18 @@
 // ---- What may be used ----
 
 Units Purse::CarefulNow(const Budget& b, Micros now) const {
-  if (s_.seat > s_.instances || left_) return 0;
+  if (s_.seat > s_.instances || left_)
+    return 0;
 #ifdef ALDERSILL_PLANT_CAREFUL_TWICE  // the defect that the search must find (tests/budgets)
   static_cast<void>(now);
 #else
   // What the seat's former life took of it may be in use still, or used in this window.
   const Micros drifted =
       started_at_ + static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * s_.most_drift));
-  if (b.kind == Kind::kLevel && now < drifted) return 0;
-  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + s_.most_apart)) return 0;
+  if (b.kind == Kind::kLevel && now < drifted)
+    return 0;
+  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + s_.most_apart))
+    return 0;
 #endif
   return Careful(b, s_.instances);
 }
@@ -69,7 +74,8 @@
 }
 
 void Purse::FillTo(const Budget& b, Pocket* p, Units share, Micros to) const {
-  if (to <= p->filled_at) return;
+  if (to <= p->filled_at)
+    return;
   // A fast clock must not make more of a second than there is in it.
   const double rate = static_cast<double>(share + CarefulNow(b, to)) / kUnitsAStart * (1 - s_.most_drift);
   p->tokens = std::min(p->tokens + rate * Seconds(to - p->filled_at), Cap(b, share));
@@ -80,7 +86,8 @@
   // What came until the grant's end came by the grant; from there on by the careful share, in a smaller
   // bucket.
   FillTo(b, p, p->share, std::min(now, until_));
-  if (now >= until_) FillTo(b, p, 0, now);
+  if (now >= until_)
+    FillTo(b, p, 0, now);
   p->tokens = std::min(p->tokens, Cap(b, ShareNow(*p, now)));
 }
 
@@ -89,7 +96,8 @@
   for (std::size_t i = 0; i < pockets_.size(); ++i) {
     const Budget& b = s_.budgets[i];
     Pocket& p = pockets_[i];
-    if (b.kind == Kind::kRate) Fill(b, &p, now_);
+    if (b.kind == Kind::kRate)
+      Fill(b, &p, now_);
     if (const std::uint64_t window = WindowAt(b, now_); window != p.window) {
       p.window = window;
       p.share = 0, p.used = 0, p.refused = 0;
@@ -100,7 +108,8 @@
 
 Units Purse::Allowed(Micros now, std::string_view budget) const {
   const int i = Index(budget);
-  if (i < 0 || left_) return 0;
+  if (i < 0 || left_)
+    return 0;
   const Budget& b = s_.budgets[i];
   // A share of a window is of no other, also where nothing has happened here since.
   const Units share = pockets_[i].window == WindowAt(b, now) ? ShareNow(pockets_[i], now) : 0;
@@ -109,8 +118,10 @@
 
 std::optional<ErrorCode> Purse::Take(Micros now, std::string_view budget, std::int64_t count) {
   const int i = Index(budget);
-  if (i < 0) return ErrorCode::kUnknown;
-  if (left_) return ErrorCode::kLeaving;
+  if (i < 0)
+    return ErrorCode::kUnknown;
+  if (left_)
+    return ErrorCode::kLeaving;
   CatchUp(now);
   const Budget& b = s_.budgets[i];
   Pocket& p = pockets_[i];
@@ -126,31 +137,37 @@
     b.kind == Kind::kRate ? void(p.tokens -= static_cast<double>(count)) : void(p.used += count);
     p.peak = std::max(p.peak, p.used);
     // Work that was not there: to be told soon.
-    if (b.kind != Kind::kRate && p.used + p.waiting > p.told) AskSoon();
+    if (b.kind != Kind::kRate && p.used + p.waiting > p.told)
+      AskSoon();
     return std::nullopt;
   }
   ++counters_.refused;
   p.refused += count;
-  if (IsNews(b, p)) AskSoon();
-  if (granted) return ErrorCode::kUsedUp;
+  if (IsNews(b, p))
+    AskSoon();
+  if (granted)
+    return ErrorCode::kUsedUp;
   return s_.seat > s_.instances ? ErrorCode::kNoSeat : ErrorCode::kNoGrant;
 }
 
 void Purse::Free(Micros now, std::string_view budget, std::int64_t count) {
   const int i = Index(budget);
-  if (i < 0 || s_.budgets[i].kind != Kind::kLevel) return;
+  if (i < 0 || s_.budgets[i].kind != Kind::kLevel)
+    return;
   CatchUp(now);
   pockets_[i].used = std::max<std::int64_t>(0, pockets_[i].used - count);
 }
 
 void Purse::Waiting(Micros now, std::string_view budget, std::int64_t count) {
   const int i = Index(budget);
-  if (i < 0) return;
+  if (i < 0)
+    return;
   CatchUp(now);
   Pocket& p = pockets_[i];
   p.waiting = count;
   p.peak = std::max(p.peak, p.used + p.waiting);
-  if (2 * (p.used + p.waiting) > 3 * p.told) AskSoon();
+  if (2 * (p.used + p.waiting) > 3 * p.told)
+    AskSoon();
 }
 
 // ---- Asking ----
@@ -158,14 +175,16 @@
 // Whether there is more demand than the holder has been told of, beyond chance: asking more often for what it
 // knows of would cost it more and bring nothing.
 bool Purse::IsNews(const Budget& b, const Pocket& p) const {
-  if (b.kind != Kind::kRate) return p.used + std::max(p.waiting, p.refused) > p.told;
+  if (b.kind != Kind::kRate)
+    return p.used + std::max(p.waiting, p.refused) > p.told;
   const double usual = static_cast<double>(p.told) / kUnitsAStart * Seconds(now_ - asked_at_);
   return static_cast<double>(p.attempts) > usual + kChance * (1.0 + std::sqrt(usual));
 }
 
 void Purse::Measure() {
   const Micros passed = now_ - measured_at_;
-  if (passed <= 0) return;
+  if (passed <= 0)
+    return;
   const double keeps = std::exp(-Seconds(passed) / Seconds(kSmoothed));
   for (Pocket& p : pockets_) {
     const double usual = p.offered * Seconds(passed), came = static_cast<double>(p.attempts);
@@ -194,7 +213,8 @@
 
 void Purse::SendNow() {
   due_ = now_ + (holder_.empty() ? calm_ : retry_);
-  if (holder_.empty()) return;
+  if (holder_.empty())
+    return;
   Measure();
   Ask ask{s_.epoch, ++number_, digest_, s_.weight, left_, {}};
   for (std::size_t i = 0; i < pockets_.size(); ++i) {
@@ -204,7 +224,8 @@
     p.told = left_ ? 0 : Demand(b, p);
     line.demand = std::max<Units>(0, p.told - CarefulNow(b, now_));  // that is its own already
     line.share = left_ ? 0 : ShareNow(p, now_);
-    if (b.kind != Kind::kRate) line.beyond = std::max<Units>(0, p.used - CarefulNow(b, now_));
+    if (b.kind != Kind::kRate)
+      line.beyond = std::max<Units>(0, p.used - CarefulNow(b, now_));
     line.window = p.window;
     ask.lines.push_back(line);
     p.peak = p.used;
@@ -218,26 +239,33 @@
 
 void Purse::On(const PurseStarted&) {
   started_at_ = measured_at_ = now_;
-  for (Pocket& p : pockets_) p.filled_at = now_;
+  for (Pocket& p : pockets_)
+    p.filled_at = now_;
   due_ = now_;
-  if (s_.seat > s_.instances) effects_->push_back(PurseSays{{ErrorCode::kNoSeat, s_.name}});
+  if (s_.seat > s_.instances)
+    effects_->push_back(PurseSays{{ErrorCode::kNoSeat, s_.name}});
 }
 
 void Purse::On(const HolderIs& e) {
-  if (e.term <= holder_term_) return;
+  if (e.term <= holder_term_)
+    return;
   holder_ = e.name;
   holder_term_ = e.term;
-  if (!left_ || repeats_ > 0) SendNow();
+  if (!left_ || repeats_ > 0)
+    SendNow();
 }
 
 void Purse::On(const PurseTime&) {
-  if (now_ < due_ || (left_ && repeats_ == 0)) return;
-  if (left_) --repeats_;
+  if (now_ < due_ || (left_ && repeats_ == 0))
+    return;
+  if (left_)
+    --repeats_;
   SendNow();
 }
 
 void Purse::On(const GiveBack&) {
-  if (left_) return;
+  if (left_)
+    return;
   left_ = true;
   until_ = now_;
   lapsed_ = true;
@@ -272,7 +300,8 @@
     Units share = line.window == p.window ? std::max<Units>(0, line.share) : 0;
 #ifndef ALDERSILL_PLANT_RENEWS_ENDED
     // The holder knows it only from what was shown: where that has ended since, it may be another's.
-    if (line.renewal) share = std::min(share, before);
+    if (line.renewal)
+      share = std::min(share, before);
 #endif
     less |= share < before;
     p.share = share;
@@ -283,8 +312,9 @@
   until_ = until;
   lapsed_ = now_ >= until_;
   ++counters_.answered;
-  CatchUp(now_);        // buckets are cut to size at once
-  if (less) AskSoon();  // what was given up is of use to others only when it is known
+  CatchUp(now_);  // buckets are cut to size at once
+  if (less)
+    AskSoon();  // what was given up is of use to others only when it is known
 }
 
 }  // namespace aldersill::budgets
--- a/src/budgets/settings.cpp
+++ b/src/budgets/settings.cpp
@@ -9,7 +9,8 @@
 std::vector<Error> Check(const Settings& s) {
   std::vector<Error> errors;
   const auto wrong = [&](bool is, ErrorCode code, std::string field) {
-    if (is) errors.push_back({code, "budgets." + std::move(field)});
+    if (is)
+      errors.push_back({code, "budgets." + std::move(field)});
   };
   wrong(s.instances < 1 || s.instances > 1'024, ErrorCode::kBadInstances, "instances");
   wrong(s.seat < 1, ErrorCode::kBadSeat, "seat");
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -59,7 +59,8 @@
                : static_cast<void>(ReadOperatorFile(path));
       std::printf("%s: good, as %s\n", path.c_str(),
                   platform ? "the platform's configuration" : "the operator's settings");
-      for (const std::string& field : unknown) std::printf("%s: not read: %s\n", path.c_str(), field.c_str());
+      for (const std::string& field : unknown)
+        std::printf("%s: not read: %s\n", path.c_str(), field.c_str());
     } catch (const std::exception& e) {
       status = Complain(e);
     }
@@ -90,12 +91,15 @@
     std::string path = question.socket;
     if (path.empty()) {
       const std::string file = OperatorFilePath();
-      if (!file.empty()) path = ReadOperatorFile(file).control.socket;
+      if (!file.empty())
+        path = ReadOperatorFile(file).control.socket;
     }
-    if (path.empty()) throw ConfigError("control.socket is not set: give --socket PATH");
+    if (path.empty())
+      throw ConfigError("control.socket is not set: give --socket PATH");
     *status = kUnreachable;
     const std::optional<std::string> answer = control::Ask(path, what);
-    if (!answer) throw std::runtime_error("no running instance answers at " + path);
+    if (!answer)
+      throw std::runtime_error("no running instance answers at " + path);
     return nlohmann::json::parse(*answer);
   } catch (const ConfigError& e) {
     *status = Complain(e);
@@ -108,7 +112,8 @@
 int Members(const Question& question) {
   int status = kDone;
   const auto json = AskRunning(question, "members", &status);
-  if (!json) return status;
+  if (!json)
+    return status;
   if (question.json) {
     std::printf("%s\n", json->dump().c_str());
     return kDone;
@@ -130,7 +135,8 @@
 int Duties(const Question& question) {
   int status = kDone;
   const auto json = AskRunning(question, "duties", &status);
-  if (!json) return status;
+  if (!json)
+    return status;
   if (question.json) {
     std::printf("%s\n", json->dump().c_str());
     return kDone;
@@ -190,10 +196,14 @@
     const int status = app.exit(e);
     return status == 0 ? kDone : kUsage;
   }
-  if (check->parsed()) return CheckConfig(files);
-  if (print->parsed()) return PrintConfig();
-  if (members->parsed()) return Members(question);
-  if (duties->parsed()) return Duties(question);
+  if (check->parsed())
+    return CheckConfig(files);
+  if (print->parsed())
+    return PrintConfig();
+  if (members->parsed())
+    return Members(question);
+  if (duties->parsed())
+    return Duties(question);
   return Serve();
 }
 
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -9,7 +9,8 @@
 
 Cluster::Cluster(Settings settings, std::uint64_t seed)
     : s_(std::move(settings)), seed_(seed), membership_(s_.membership, seed) {
-  if (s_.probing) probing_.emplace(*s_.probing, seed + 1);
+  if (s_.probing)
+    probing_.emplace(*s_.probing, seed + 1);
 }
 
 void Cluster::Handle(Micros now, Event event, std::vector<Effect>* effects) {
@@ -20,8 +21,10 @@
 
 Micros Cluster::next_due() const {
   Micros due = membership_.next_due();
-  if (probing_) due = std::min(due, probing_->next_due());
-  for (const auto& [duty, lease] : leases_) due = std::min(due, lease.next_due());
+  if (probing_)
+    due = std::min(due, probing_->next_due());
+  for (const auto& [duty, lease] : leases_)
+    due = std::min(due, lease.next_due());
   return due;
 }
 
@@ -35,7 +38,8 @@
   }
   ToMembership(membership::Started{e.epoch});
   ToProbing(duties::MemberCame{s_.membership.name, s_.membership.weight});
-  for (auto& [duty, lease] : leases_) ToLease(&lease, duties::LeaseStarted{});
+  for (auto& [duty, lease] : leases_)
+    ToLease(&lease, duties::LeaseStarted{});
 }
 
 void Cluster::On(Came&& e) {
@@ -44,9 +48,12 @@
 
 void Cluster::On(Time&&) {
   // Leases first: one that ended while this instance stood still must not outlive another's word.
-  for (auto& [duty, lease] : leases_) ToLease(&lease, duties::LeaseTime{});
-  if (membership_.next_due() <= now_) ToMembership(membership::TimeCame{});
-  if (probing_ && probing_->next_due() <= now_) ToProbing(duties::ProbeTime{});
+  for (auto& [duty, lease] : leases_)
+    ToLease(&lease, duties::LeaseTime{});
+  if (membership_.next_due() <= now_)
+    ToMembership(membership::TimeCame{});
+  if (probing_ && probing_->next_due() <= now_)
+    ToProbing(duties::ProbeTime{});
 }
 
 void Cluster::On(Workers&& e) { ToProbing(duties::WorkersAre{std::move(e.all)}); }
@@ -54,7 +61,8 @@
 void Cluster::On(Probed&& e) { ToProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report}); }
 
 void Cluster::On(Leave&&) {
-  for (auto& [duty, lease] : leases_) ToLease(&lease, duties::GiveUp{});
+  for (auto& [duty, lease] : leases_)
+    ToLease(&lease, duties::GiveUp{});
   ToMembership(membership::LeaveAsked{});
   ToProbing(duties::MemberWent{s_.membership.name});
 }
@@ -70,7 +78,8 @@
 }
 
 void Cluster::ToProbing(duties::ProbeEvent event) {
-  if (!probing_) return;
+  if (!probing_)
+    return;
   std::vector<duties::ProbeEffect> asked;
   probing_->Handle(now_, std::move(event), &asked);
   for (duties::ProbeEffect& effect : asked) {
@@ -113,7 +122,8 @@
 }
 
 void Cluster::Do(membership::RumorHeard&& e) {
-  if (!probing_) return;
+  if (!probing_)
+    return;
   auto result = duties::DecodeResult(e.rumor.key, e.rumor.body);
   if (!result) {
     ++malformed_;
--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -19,7 +19,8 @@
 }
 
 nlohmann::json MembersAsJson(const Cluster* core) {
-  if (core == nullptr) return {{"enabled", false}};
+  if (core == nullptr)
+    return {{"enabled", false}};
   nlohmann::json members = nlohmann::json::array();
   for (const auto& [name, said] : core->members().View()) {
     members.push_back({{"name", name},
@@ -34,7 +35,8 @@
 }
 
 nlohmann::json DutiesAsJson(const Cluster* core, Micros now) {
-  if (core == nullptr) return {{"enabled", false}};
+  if (core == nullptr)
+    return {{"enabled", false}};
   nlohmann::json json = {{"enabled", true}, {"probing", nullptr}, {"exclusive", nlohmann::json::array()}};
   if (const duties::ProbeSharing* probing = core->probing()) {
     const duties::ProbeCounters& c = probing->counters();
@@ -60,10 +62,12 @@
 void AddObjects(const Cluster& core, const membership::TransportCounters& t, const membership::Sealer& sealer,
                 Micros now, snmp::ObjectMap* objects) {
   std::array<std::uint32_t, 4> by_state{};
-  for (const auto& [name, said] : core.members().View()) ++by_state[static_cast<std::size_t>(said.state)];
+  for (const auto& [name, said] : core.members().View())
+    ++by_state[static_cast<std::size_t>(said.state)];
   std::uint64_t column = 0;
   const auto scalar = [&](snmp::Value value) { (*objects)[{5, ++column, 0}] = std::move(value); };
-  for (const std::uint32_t members : by_state) scalar(snmp::Gauge{members});
+  for (const std::uint32_t members : by_state)
+    scalar(snmp::Gauge{members});
   const membership::Counters& m = core.members().counters();
   scalar(snmp::Gauge{static_cast<std::uint32_t>(core.members().health())});
   for (const std::uint64_t count :
@@ -73,7 +77,8 @@
   const duties::ProbeCounters c = probing != nullptr ? probing->counters() : duties::ProbeCounters{};
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->owned() : 0)});
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->workers() : 0)});
-  for (const std::uint64_t count : {c.started, c.takeovers, c.heard}) scalar(snmp::Counter{count});
+  for (const std::uint64_t count : {c.started, c.takeovers, c.heard})
+    scalar(snmp::Counter{count});
   std::uint32_t held = 0;
   std::uint64_t taken = 0, lost = 0;
   for (const auto& [duty, lease] : core.leases()) {
--- a/src/config/near_name.h
+++ b/src/config/near_name.h
@@ -34,7 +34,8 @@
   for (const std::string& known : names) {
     const bool begun = name.size() >= 3 && known.starts_with(name);  // "warn"
     const std::size_t distance = begun ? 1 : EditDistance(name, known);
-    if (distance >= least || distance >= known.size()) continue;
+    if (distance >= least || distance >= known.size())
+      continue;
     least = distance;
     near = known;
   }
@@ -44,7 +45,8 @@
 template <typename Names>
 std::string Listed(const Names& names) {
   std::string list;
-  for (const std::string& name : names) list += (list.empty() ? "" : ", ") + name;
+  for (const std::string& name : names)
+    list += (list.empty() ? "" : ", ") + name;
   return list;
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -146,11 +146,14 @@
  public:
   Reader(YAML::Node map, std::string path, const std::string& file)
       : map_(std::move(map)), path_(std::move(path)), file_(file) {
-    if (map_.IsNull()) map_ = YAML::Node(YAML::NodeType::Map);
-    if (!map_.IsMap()) Bad(map_, path_, "must be a map of fields");
+    if (map_.IsNull())
+      map_ = YAML::Node(YAML::NodeType::Map);
+    if (!map_.IsMap())
+      Bad(map_, path_, "must be a map of fields");
     for (const auto& entry : map_) {
       const std::string key = entry.first.IsScalar() ? entry.first.Scalar() : "?";
-      if (!given_.insert(key).second) Bad(entry.first, Below(key), "is given twice");
+      if (!given_.insert(key).second)
+        Bad(entry.first, Below(key), "is given twice");
     }
   }
 
@@ -190,9 +193,12 @@
   }
   void Texts(const char* name, std::vector<std::string>& values, std::size_t most) {
     const YAML::Node node = Take(name);
-    if (!node) return;
-    if (!node.IsSequence()) Bad(node, Below(name), "must be a list");
-    if (node.size() > most) Bad(node, Below(name), "must hold at most " + std::to_string(most) + " items");
+    if (!node)
+      return;
+    if (!node.IsSequence())
+      Bad(node, Below(name), "must be a list");
+    if (node.size() > most)
+      Bad(node, Below(name), "must hold at most " + std::to_string(most) + " items");
     values.clear();
     for (std::size_t i = 0; i < node.size(); ++i) {
       if (!node[i].IsScalar() || node[i].Scalar().empty())
@@ -202,7 +208,8 @@
   }
   void Address(const char* name, Endpoint& value, Where where) {
     const YAML::Node node = Take(name);
-    if (!node) return;
+    if (!node)
+      return;
     const std::optional<Endpoint> endpoint = node.IsScalar() ? ParseEndpoint(node.Scalar()) : std::nullopt;
     if (!endpoint)
       Bad(node, Below(name),
@@ -214,11 +221,13 @@
   template <typename T>
   void OneOf(const char* name, T& value, const std::vector<Word<T>>& words) {
     const YAML::Node node = Take(name);
-    if (!node) return;
+    if (!node)
+      return;
     const std::string given = node.IsScalar() ? node.Scalar() : "";
     std::vector<std::string> wanted;
     for (const Word<T>& word : words) {
-      if (given == word.text) return static_cast<void>(value = word.value);
+      if (given == word.text)
+        return static_cast<void>(value = word.value);
       wanted.push_back(word.text);
     }
     Bad(node, Below(name), "must be one of " + Listed(wanted) + MeantBy(given, wanted));
@@ -226,25 +235,29 @@
   template <typename T>
   void Section(const char* name, T& settings) {
     const YAML::Node node = Take(name);
-    if (!node) return;
+    if (!node)
+      return;
     Reader below(node, Below(name), file_);
     Describe(below, settings);
     below.Finish();
   }
   // Two fields that do not go together; `name` is the one at fault.
   void Check(bool holds, const char* name, const std::string& what) {
-    if (!holds) Bad(std::as_const(map_)[name] ? std::as_const(map_)[name] : map_, Below(name), what);
+    if (!holds)
+      Bad(std::as_const(map_)[name] ? std::as_const(map_)[name] : map_, Below(name), what);
   }
   // A field that the others make needed.
   void Require(bool holds, const char* name, const std::string& what) {
-    if (!holds) throw MissingField(Below(name), At(map_) + Below(name) + " " + what);
+    if (!holds)
+      throw MissingField(Below(name), At(map_) + Below(name) + " " + what);
   }
 
   // All that is known has been asked for by now.
   void Finish() {
     for (const auto& entry : map_) {
       const std::string key = entry.first.IsScalar() ? entry.first.Scalar() : "?";
-      if (known_.contains(key)) continue;
+      if (known_.contains(key))
+        continue;
       const std::string meant = MeantBy(key, known_);
       throw UnknownField(Below(key), At(entry.first) + Below(key) + " is unknown" +
                                          (meant.empty() ? "." : meant) + " Accepted: " + Listed(known_));
@@ -255,7 +268,8 @@
   static std::string Plain(double figure) {
     std::string text = std::to_string(figure);
     text.erase(text.find_last_not_of('0') + 1);
-    if (text.ends_with('.')) text.pop_back();
+    if (text.ends_with('.'))
+      text.pop_back();
     return text;
   }
   std::string Below(const std::string& name) const { return path_.empty() ? name : path_ + "." + name; }
@@ -279,8 +293,10 @@
   template <typename F>
   void Scalar(const char* name, F decode, const std::string& must) {
     const YAML::Node node = Take(name);
-    if (!node) return;
-    if (!node.IsScalar() || !decode(node)) Bad(node, Below(name), must.empty() ? "must be a text" : must);
+    if (!node)
+      return;
+    if (!node.IsScalar() || !decode(node))
+      Bad(node, Below(name), must.empty() ? "must be a text" : must);
   }
   void Figure(const char* name, std::int64_t& value, std::int64_t least, std::int64_t most,
               std::int64_t unit) {
@@ -321,7 +337,8 @@
   template <typename T>
   void OneOf(const char* name, T& value, const std::vector<Word<T>>& words) {
     for (const Word<T>& word : words) {
-      if (word.value == value) Put(name, std::string(word.text));
+      if (word.value == value)
+        Put(name, std::string(word.text));
     }
   }
   template <typename T>
@@ -347,7 +364,8 @@
   OperatorSettings settings;
   try {
     const YAML::Node root = YAML::Load(text);
-    if (!root.IsDefined() || root.IsNull()) return settings;  // nothing set: all defaults
+    if (!root.IsDefined() || root.IsNull())
+      return settings;  // nothing set: all defaults
     Reader reader(root, "", name_in_errors);
     Describe(reader, settings);
     reader.Finish();
@@ -360,12 +378,14 @@
 
 OperatorSettings ReadOperatorFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ConfigError(path + ":1: the file cannot be read");
+  if (!file)
+    throw ConfigError(path + ":1: the file cannot be read");
   // In parts: a buffer of the most there may be would cost its pages at each start and SIGHUP.
   std::string text;
   for (char part[4096]; text.size() <= kMostBytes && (file.read(part, sizeof(part)), file.gcount() > 0);)
     text.append(part, static_cast<std::size_t>(file.gcount()));
-  if (text.size() > kMostBytes) throw ConfigError(path + ":1: the file is longer than 1 MiB");
+  if (text.size() > kMostBytes)
+    throw ConfigError(path + ":1: the file is longer than 1 MiB");
   return ParseOperatorText(text, path);
 }
 
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -29,7 +29,8 @@
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
   ~Descriptor() {
-    if (fd_ >= 0) close(fd_);
+    if (fd_ >= 0)
+      close(fd_);
   }
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
@@ -56,7 +57,8 @@
   if (SomebodyListens(address))
     throw std::runtime_error("control.socket: another instance listens on " + path);
   struct stat status {};
-  if (lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode)) unlink(path.c_str());
+  if (lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode))
+    unlink(path.c_str());
   Descriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const mode_t before = umask(0177);
   const int bound = bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
@@ -66,7 +68,8 @@
     throw std::runtime_error("control.socket: cannot listen on " + path + ": " + std::strerror(error));
   EventPtr<evconnlistener> listener(
       evconnlistener_new(base, &LineServer::OnAccept, &server_, LEV_OPT_CLOSE_ON_FREE, 8, fd.get()));
-  if (listener == nullptr) throw std::runtime_error("control.socket: cannot listen on " + path);
+  if (listener == nullptr)
+    throw std::runtime_error("control.socket: cannot listen on " + path);
   fd.Release();
   server_.Listen(std::move(listener));
 }
@@ -88,10 +91,13 @@
   char buffer[4096];
   for (;;) {
     const ssize_t got = recv(fd.get(), buffer, sizeof(buffer), 0);
-    if (got <= 0) return std::nullopt;
+    if (got <= 0)
+      return std::nullopt;
     answer.append(buffer, static_cast<std::size_t>(got));
-    if (answer.ends_with('\n')) break;
-    if (answer.size() > (1 << 24)) return std::nullopt;
+    if (answer.ends_with('\n'))
+      break;
+    if (answer.size() > (1 << 24))
+      return std::nullopt;
   }
   answer.pop_back();
   return answer;
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -24,7 +24,8 @@
 void Reducer::Adopt(CoreSettings settings) {
   const bool fresh = modules_.empty() || settings.module_changed;
   s_ = std::move(settings);
-  if (!fresh) return;
+  if (!fresh)
+    return;
   const std::uint64_t number = modules_.empty() ? 0 : modules_.rbegin()->first + 1;
   modules_.emplace(number, Module{pulleyrouter::Dispatcher(s_.module, s_.seed)});
   class_of_.clear();
@@ -42,20 +43,24 @@
   now_ = std::max(now_, now);
   effects_ = effects;
   // What has gone out comes first: withdrawn as one that never ran it could go out again.
-  if (const auto* out = std::get_if<ExecutionHandedOver>(&event)) On(ExecutionHandedOver(*out));
+  if (const auto* out = std::get_if<ExecutionHandedOver>(&event))
+    On(ExecutionHandedOver(*out));
   // Then, before all else: a timer that comes late must not let one more execution go.
-  if (now_ >= good_until_) Distrust();
+  if (now_ >= good_until_)
+    Distrust();
   std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
   // The module is never called from within its own actions: what they bring about waits its turn here.
   while (!for_module_.empty()) {
     const auto [number, next] = std::move(for_module_.front());
     for_module_.pop_front();
     const auto module = modules_.find(number);
-    if (module == modules_.end()) continue;  // done with: only its timers are still left
+    if (module == modules_.end())
+      continue;  // done with: only its timers are still left
     actions_.clear();
     acting_ = number;
     module->second.dispatcher.Handle(now_, next, &actions_);
-    for (const pulleyrouter::Action& action : actions_) std::visit([this](const auto& a) { Do(a); }, action);
+    for (const pulleyrouter::Action& action : actions_)
+      std::visit([this](const auto& a) { Do(a); }, action);
   }
   std::erase_if(modules_,
                 [this](const auto& m) { return m.second.open == 0 && m.first != modules_.rbegin()->first; });
@@ -83,7 +88,8 @@
     const bool never = verdict == RepeatGuard::Verdict::kNever;
     ++counters_.repeats_barred;
     ++(never ? counters_.classes[counter].failed : counters_.classes[counter].nacked);
-    if (never) return Ask(Answer{e.client, Failure{Failure::Why::kRepeat}});
+    if (never)
+      return Ask(Answer{e.client, Failure{Failure::Why::kRepeat}});
     return Ask(Answer{e.client, Nack{Nack::Why::kRepeatOut, s_.module.max_retry_after}});
   }
   const std::uint64_t number = next_request_++;
@@ -99,7 +105,8 @@
   // need.
   r.deadline = now_ + std::min(e.job.time_left, c.deadline) - margin;
   r.start_by = e.job.guard_repeats ? repeats_.MayStartUntil(e.job.id, c) : RepeatGuard::kNever;
-  if (e.job.guard_repeats) repeats_.Begin(e.job.id);
+  if (e.job.guard_repeats)
+    repeats_.Begin(e.job.id);
   r.job = std::make_shared<const Job>(std::move(e.job));
   by_client_[r.client] = number;
   TellModuleOf(r, pulleyrouter::Arrival{ModuleId(number), r.job->klass, r.job->tenant, r.job->subject,
@@ -110,13 +117,15 @@
   std::vector<JobInHand> jobs;
   for (const auto& [client, number] : by_client_) {
     const Request& r = requests_.at(number);
-    if (client.front != ClientRef::Front::kHttp || r.open > 1) continue;
+    if (client.front != ClientRef::Front::kHttp || r.open > 1)
+      continue;
     JobInHand in_hand{client, r.job, r.deadline - now_, r.first_run != 0 || r.may_have_run, {}, ""};
     if (r.open == 1) {
       const auto running =
           std::ranges::find_if(r.executions, [this](ExecutionNo x) { return executions_.contains(x); });
       const Execution& x = executions_.at(*running);
-      if (!x.handed_over || x.source != Instance::Source::kDiscovery) continue;
+      if (!x.handed_over || x.source != Instance::Source::kDiscovery)
+        continue;
       in_hand.running = *running;
       in_hand.worker = x.instance;
     } else if (!r.executions.empty()) {
@@ -129,14 +138,16 @@
 
 void Reducer::On(JobHandedAway&& e) {
   const auto found = by_client_.find(e.client);
-  if (found == by_client_.end()) return;
+  if (found == by_client_.end())
+    return;
   const std::uint64_t number = found->second;
   by_client_.erase(found);
   Request& r = requests_.at(number);
   r.answered = true;
   TellModuleOf(r, pulleyrouter::ClientGone{ModuleId(number)});
   for (const ExecutionNo x : r.executions) {
-    if (executions_.erase(x) == 0) continue;
+    if (executions_.erase(x) == 0)
+      continue;
     Ask(ClearTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(x)}});
     --r.open;
     TellModuleOf(
@@ -149,7 +160,8 @@
 
 void Reducer::On(JobAdopted&& e) {
   const auto klass = class_of_.find(e.job.klass);
-  if (klass == class_of_.end()) return Ask(Answer{e.client, Failure{}});
+  if (klass == class_of_.end())
+    return Ask(Answer{e.client, Failure{}});
   const std::uint64_t number = next_request_++;
   const ExecutionNo execution{next_execution_++};
   Request& r = requests_[number];
@@ -194,7 +206,8 @@
   return;
 #endif
   const auto found = by_client_.find(e.client);
-  if (found == by_client_.end()) return;
+  if (found == by_client_.end())
+    return;
   const std::uint64_t number = found->second;
   by_client_.erase(found);
   Request& r = requests_.at(number);
@@ -211,7 +224,8 @@
 // ring late: what was judged then is judged again, by the time it is now.
 void Reducer::On(ExecutionConnected&& e) {
   const auto found = executions_.find(e.execution);
-  if (found == executions_.end() || found->second.handed_over) return;
+  if (found == executions_.end() || found->second.handed_over)
+    return;
   const Execution& x = found->second;
   if (!MayStillGo(x) || requests_.at(x.request).answered || now_ >= x.start_by)
     return End(e.execution, Outcome::kNotSent, "", {}, true);
@@ -220,7 +234,8 @@
 
 void Reducer::On(ExecutionHandedOver&& e) {
   const auto found = executions_.find(e.execution);
-  if (found == executions_.end() || found->second.handed_over) return;
+  if (found == executions_.end() || found->second.handed_over)
+    return;
   found->second.handed_over = true;
   ++counters_.executions_handed_over;
   found->second.handed_at = now_;
@@ -229,7 +244,8 @@
 
 void Reducer::On(ExecutionProgress&& e) {
   const auto found = executions_.find(e.execution);
-  if (found == executions_.end()) return;
+  if (found == executions_.end())
+    return;
   TellModuleOf(
       requests_.at(found->second.request),
       pulleyrouter::Progress{ModuleId(found->second.request), found->second.attempt, e.started, e.share});
@@ -241,7 +257,8 @@
 
 void Reducer::On(ExecutionReleased&& e) {
   const auto found = still_out_.find(e.execution);
-  if (found == still_out_.end()) return;
+  if (found == still_out_.end())
+    return;
   repeats_.Released(found->second);
   still_out_.erase(found);
 }
@@ -249,19 +266,22 @@
 void Reducer::On(TimerDue&& e) {
   if (e.key.wait == TimerKey::Wait::kNameTable) {
     good_timer_ = now_ < good_until_;
-    if (good_timer_) Ask(SetTimer{e.key, good_until_ - now_});
+    if (good_timer_)
+      Ask(SetTimer{e.key, good_until_ - now_});
     return;
   }
   if (e.key.wait == TimerKey::Wait::kModule)
     return TellModule(e.key.module, pulleyrouter::TimerFired{e.key.id});
   const ExecutionNo number{e.key.id};
   const auto found = executions_.find(number);
-  if (found == executions_.end()) return;
+  if (found == executions_.end())
+    return;
   if (e.key.wait == TimerKey::Wait::kGiveUp) {
     // Not handed over by then: it cannot have run, and must not once we stop it.
     return End(number, found->second.handed_over ? Outcome::kTimeout : Outcome::kConnectFailed, "", {}, true);
   }
-  if (found->second.handed_over) return;
+  if (found->second.handed_over)
+    return;
   // Cut short by the window of an earlier attempt: that tells nothing of the instance.
   if (found->second.start_by < found->second.give_up_at && now_ >= found->second.start_by)
     return End(number, Outcome::kNotSent, "", {}, true);
@@ -274,10 +294,12 @@
   ++counters_.name_table_news;
   using Form = NameTableNews::Form;
   const bool whole = e.form == Form::kWhole || e.form == Form::kRemembered;
-  if (e.source == Instance::Source::kDiscovery && e.form != Form::kRemembered) heard_ = true;
+  if (e.source == Instance::Source::kDiscovery && e.form != Form::kRemembered)
+    heard_ = true;
   if (whole) {
     for (auto& [name, known] : name_table_) {
-      if (known.source == e.source) known.state = Instance::State::kGone;
+      if (known.source == e.source)
+        known.state = Instance::State::kGone;
     }
   }
   WorkerList changes{WorkerList::Form::kDelta, {}};
@@ -287,9 +309,11 @@
 #endif
     entry.source = e.source;
     changes.workers.push_back(ModuleEntry(entry));
-    if (ever_listed_.size() < kMostEverListed) ever_listed_.insert(entry.name);
+    if (ever_listed_.size() < kMostEverListed)
+      ever_listed_.insert(entry.name);
     Instance& known = name_table_[entry.name];
-    if (entry.address.empty()) entry.address = known.address;
+    if (entry.address.empty())
+      entry.address = known.address;
     known = std::move(entry);
   }
   std::erase_if(name_table_, [&](const auto& named) { return named.second.state == Instance::State::kGone; });
@@ -314,7 +338,8 @@
 void Reducer::WithdrawLate() {
   std::vector<ExecutionNo> late;
   for (const auto& [number, x] : executions_) {
-    if (!MayStillGo(x)) late.push_back(number);
+    if (!MayStillGo(x))
+      late.push_back(number);
   }
   Withdraw(late);
 }
@@ -330,7 +355,8 @@
   e.left = NameTableGood::kForEver;
 #endif
   good_until_ = now_ + std::clamp<Micros>(e.left, 0, NameTableGood::kForEver);
-  if (e.left <= 0) return Distrust();
+  if (e.left <= 0)
+    return Distrust();
   if (std::exchange(distrusted_, false)) {
     Ask(LogLine{"worker list: known again, jobs are sent"});
     TellModules(WholeList(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
@@ -340,13 +366,15 @@
 }
 
 void Reducer::Distrust() {
-  if (std::exchange(distrusted_, true)) return;
+  if (std::exchange(distrusted_, true))
+    return;
   Ask(LogLine{"worker list: too old to go by, no job is sent until discovery answers"});
   // A delta would tell the module that it is subscribed.
   TellModules(WholeList(WorkerList::Form::kCached));
   std::vector<ExecutionNo> late;
   for (const auto& [number, x] : executions_) {
-    if (x.source == Instance::Source::kDiscovery) late.push_back(number);
+    if (x.source == Instance::Source::kDiscovery)
+      late.push_back(number);
   }
   Withdraw(late);
 }
@@ -360,7 +388,8 @@
 void Reducer::On(WorkerBanned&& e) {
   const bool changed = e.banned ? banned_.insert(e.worker).second : banned_.erase(e.worker) > 0;
   const auto known = name_table_.find(e.worker);
-  if (!changed || known == name_table_.end()) return;
+  if (!changed || known == name_table_.end())
+    return;
   if (watched_)
     TellModules(WorkerList{WorkerList::Form::kDelta, {ModuleEntry(known->second)}});
   else
@@ -383,14 +412,16 @@
 void Reducer::Do(const pulleyrouter::Send& a) {
   const std::uint64_t request = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(request);
-  if (found == requests_.end()) return;
+  if (found == requests_.end())
+    return;
   Request& r = found->second;
   const ExecutionNo number{next_execution_++};
   const int attempt = static_cast<int>(r.executions.size());
   r.executions.push_back(number);
   const auto known = name_table_.find(a.worker);
   const bool listed = known != name_table_.end() && MayGetNew(known->second);
-  if (now_ >= r.start_by) Finish(request, Failure{Failure::Why::kRepeat});
+  if (now_ >= r.start_by)
+    Finish(request, Failure{Failure::Why::kRepeat});
   if (!listed || r.answered || now_ >= r.deadline) {
     // The module's own list cannot differ from ours; were it to, nothing may be sent on its word.
     TellModuleOf(r, pulleyrouter::AttemptEnded{a.request, attempt, Outcome::kNotSent, r.answered, 0, {}});
@@ -413,10 +444,12 @@
 
 void Reducer::Do(const pulleyrouter::Cancel& a) {
   const auto found = requests_.find(static_cast<std::uint64_t>(a.request));
-  if (found == requests_.end() || a.attempt < 0 || a.attempt >= std::ssize(found->second.executions)) return;
+  if (found == requests_.end() || a.attempt < 0 || a.attempt >= std::ssize(found->second.executions))
+    return;
   const ExecutionNo number = found->second.executions[a.attempt];
   const auto x = executions_.find(number);
-  if (x == executions_.end()) return;
+  if (x == executions_.end())
+    return;
   End(number, x->second.handed_over ? Outcome::kCancelled : Outcome::kNotSent, "", {}, true);
 }
 
@@ -452,7 +485,8 @@
 }
 
 void Reducer::Do(const pulleyrouter::SubscribeList&) {
-  if (s_.has_discovery) return Ask(WatchNameTable{});
+  if (s_.has_discovery)
+    return Ask(WatchNameTable{});
   // Nobody to ask: the sessions' own word is the whole list, and it comes unasked.
   TellModule(acting_, WholeList(WorkerList::Form::kFull));
 }
@@ -489,18 +523,22 @@
 
 void Reducer::End(ExecutionNo number, Outcome outcome, std::string result, LoadReport report, bool stop) {
   const auto found = executions_.find(number);
-  if (found == executions_.end()) return;  // ended already: the first outcome stands
-#ifdef ALDERSILL_PLANT_LOST_NEVER_RAN      // planted where a search must find it
-  if (outcome == Outcome::kLost) outcome = Outcome::kConnectFailed;
+  if (found == executions_.end())
+    return;                            // ended already: the first outcome stands
+#ifdef ALDERSILL_PLANT_LOST_NEVER_RAN  // planted where a search must find it
+  if (outcome == Outcome::kLost)
+    outcome = Outcome::kConnectFailed;
 #endif
   const Execution x = std::move(found->second);
   executions_.erase(found);
   ++counters_.executions[static_cast<std::size_t>(outcome)];
   const std::uint64_t id = static_cast<std::uint64_t>(number);
-  if (!x.handed_over) Ask(ClearTimer{{TimerKey::Wait::kHandover, id}});
+  if (!x.handed_over)
+    Ask(ClearTimer{{TimerKey::Wait::kHandover, id}});
   Ask(ClearTimer{{TimerKey::Wait::kGiveUp, id}});
 #ifndef ALDERSILL_PLANT_NEVER_STOPS  // planted where a search must find it
-  if (stop) Ask(StopExecution{number, x.source});
+  if (stop)
+    Ask(StopExecution{number, x.source});
 #endif
   Request& r = requests_.at(x.request);
   // A connection to an instance can be closed; a session that has fetched goes on with it.
@@ -509,12 +547,14 @@
     still_out_.emplace(number, r.job->id);
   }
   --r.open;
-  if (MayHaveRun(outcome) && r.first_run == 0) r.first_run = x.handed_over ? x.handed_at : now_;
+  if (MayHaveRun(outcome) && r.first_run == 0)
+    r.first_run = x.handed_over ? x.handed_at : now_;
   if (outcome == Outcome::kServed && !r.answered) {
     counters_.classes[r.counter].served_ms += static_cast<std::uint64_t>((now_ - r.taken) / kMillisecond);
     Finish(x.request, Served{std::move(result)});
   }
-  if (r.module == kNoModule && !r.answered) FinishAdopted(x.request, outcome);
+  if (r.module == kNoModule && !r.answered)
+    FinishAdopted(x.request, outcome);
   TellModuleOf(r, pulleyrouter::AttemptEnded{ModuleId(x.request), x.attempt, outcome, r.answered,
                                              now_ - x.sent, report});
   ForgetIfDone(x.request);
@@ -530,7 +570,8 @@
 
 void Reducer::Finish(std::uint64_t number, FinalAnswer answer) {
   const auto found = requests_.find(number);
-  if (found == requests_.end() || std::exchange(found->second.answered, true)) return;
+  if (found == requests_.end() || std::exchange(found->second.answered, true))
+    return;
   Request& r = found->second;
   ClassCounters& count = counters_.classes[r.counter];
   ++(std::holds_alternative<Served>(answer) ? count.served
@@ -542,19 +583,24 @@
 
 void Reducer::ForgetIfDone(std::uint64_t number) {
   auto found = requests_.find(number);
-  if (found == requests_.end() || !found->second.answered) return;
+  if (found == requests_.end() || !found->second.answered)
+    return;
   Withdraw(std::vector<ExecutionNo>(found->second.executions));  // nobody waits for them any more
   found = requests_.find(number);
-  if (found == requests_.end() || found->second.open > 0) return;
+  if (found == requests_.end() || found->second.open > 0)
+    return;
   const Request& r = found->second;
-  if (r.job->guard_repeats) repeats_.End(r.job->id, r.first_run);
-  if (r.module != kNoModule) --modules_.at(r.module).open;
+  if (r.job->guard_repeats)
+    repeats_.End(r.job->id, r.first_run);
+  if (r.module != kNoModule)
+    --modules_.at(r.module).open;
   requests_.erase(found);
 }
 
 WorkerList Reducer::WholeList(WorkerList::Form form) const {
   WorkerList list{form, {}};
-  for (const auto& [name, known] : name_table_) list.workers.push_back(ModuleEntry(known));
+  for (const auto& [name, known] : name_table_)
+    list.workers.push_back(ModuleEntry(known));
   return list;
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -110,10 +110,12 @@
     for_module_.emplace_back(module, std::move(event));
   }
   void TellModules(const pulleyrouter::Event& event) {
-    for (const auto& [number, module] : modules_) TellModule(number, event);
+    for (const auto& [number, module] : modules_)
+      TellModule(number, event);
   }
   void TellModuleOf(const Request& r, pulleyrouter::Event event) {
-    if (r.module != kNoModule) TellModule(r.module, std::move(event));
+    if (r.module != kNoModule)
+      TellModule(r.module, std::move(event));
   }
   // The end of an adopted job whose attempt was not served: no module knows of it.
   void FinishAdopted(std::uint64_t number, Outcome outcome);
--- a/src/core/repeat_guard.h
+++ b/src/core/repeat_guard.h
@@ -23,9 +23,11 @@
   // Whether a job of this id may be taken now.
   Verdict Judge(const std::string& id, const pulleyrouter::ClassSettings& klass, Micros now) const {
     const auto found = jobs_.find(id);
-    if (found == jobs_.end()) return Verdict::kAdmit;
+    if (found == jobs_.end())
+      return Verdict::kAdmit;
     const Entry& e = found->second;
-    if (e.in_progress) return Verdict::kNever;  // two at once would be two attempts out at once
+    if (e.in_progress)
+      return Verdict::kNever;  // two at once would be two attempts out at once
     const bool in_window = klass.repeat == pulleyrouter::Repeat::kKeyed && now - e.first_run < klass.window;
     if (e.first_run != 0 && klass.repeat != pulleyrouter::Repeat::kRepeatable && !in_window)
       return Verdict::kNever;
@@ -47,14 +49,17 @@
   void StaysOut(const std::string& id) { ++jobs_[id].still_out; }
   void Released(const std::string& id) {
     const auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.still_out > 0) --found->second.still_out;
+    if (found != jobs_.end() && found->second.still_out > 0)
+      --found->second.still_out;
   }
   // `first_run`: when the first execution that may have run was handed over; 0 if none was.
   void End(const std::string& id, Micros first_run) {
     const auto found = jobs_.find(id);
-    if (found == jobs_.end()) return;
+    if (found == jobs_.end())
+      return;
     found->second.in_progress = false;
-    if (found->second.first_run == 0) found->second.first_run = first_run;
+    if (found->second.first_run == 0)
+      found->second.first_run = first_run;
     if (found->second.first_run == 0) {
       jobs_.erase(found);
       return;
@@ -63,7 +68,8 @@
     while (order_.size() > most_) {
       const auto oldest = jobs_.find(order_.front());
       order_.pop_front();
-      if (oldest != jobs_.end() && !oldest->second.in_progress) jobs_.erase(oldest);
+      if (oldest != jobs_.end() && !oldest->second.in_progress)
+        jobs_.erase(oldest);
     }
   }
 
@@ -85,9 +91,11 @@
   explicit TakenIds(std::size_t most = 20'000) : most_(most) {}
   // False if it was taken before.
   bool Take(const std::string& id) {
-    if (!ids_.insert(id).second) return false;
+    if (!ids_.insert(id).second)
+      return false;
     order_.push_back(id);
-    if (order_.size() <= most_) return true;
+    if (order_.size() <= most_)
+      return true;
     ids_.erase(order_.front());
     order_.pop_front();
     return true;
--- a/src/daemon/admin_part.cpp
+++ b/src/daemon/admin_part.cpp
@@ -25,7 +25,8 @@
     Adopt(c);
   }
   void Announce() override {
-    if (!address_) return;
+    if (!address_)
+      return;
     const int port = PortOf(evconnlistener_get_fd(const_cast<evconnlistener*>(server_.listener())));
     Log(LogLevel::kInfo, "door",
         {{"name", "mgmt"}, {"address", address_->host + ":" + std::to_string(port)}});
@@ -36,7 +37,8 @@
   }
   void Abandon() override { opened_.reset(); }
   void Adopt(const Config& c) override {
-    if (c.mgmt == address_) return;
+    if (c.mgmt == address_)
+      return;
     address_ = c.mgmt;
     server_.Listen(std::move(opened_));
   }
--- a/src/daemon/cluster_part.cpp
+++ b/src/daemon/cluster_part.cpp
@@ -44,7 +44,8 @@
     membership_ = c.own.membership;
     duties_ = c.own.duties;
     Offer();
-    if (!membership_.enabled) return;
+    if (!membership_.enabled)
+      return;
     if (c.name.empty() || c.name.size() > kMostMessageName)
       throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
                         " bytes where membership is on");
@@ -58,11 +59,13 @@
     core_ = std::make_unique<cluster::Cluster>(ForCluster(c, address_),
                                                c.seed ^ static_cast<std::uint64_t>(around_.now()));
     // The module's own wish for a probe is met by what all instances' probes bring.
-    if (duties_.probing) around_.offers->probe = [](const ProbeInstance&) {};
+    if (duties_.probing)
+      around_.offers->probe = [](const ProbeInstance&) {};
   }
 
   void Announce() override {
-    if (core_ == nullptr) return;
+    if (core_ == nullptr)
+      return;
     Log(LogLevel::kInfo, "door",
         {{"name", "membership"},
          {"address", ToText({membership_.listen.host, static_cast<std::uint16_t>(transport_->port())})},
@@ -74,18 +77,22 @@
   void Prepare(const Config& next) override {
     if (!(next.own.membership == membership_))
       throw ConfigError("membership cannot change while the program runs");
-    if (!(next.own.duties == duties_)) throw ConfigError("duties cannot change while the program runs");
+    if (!(next.own.duties == duties_))
+      throw ConfigError("duties cannot change while the program runs");
     if (core_ != nullptr && next.name != core_->members().settings().name)
       throw ConfigError("name cannot change while the program runs, as others know it");
-    if (transport_ != nullptr) keys_ = membership::ReadKeys(membership_.key_file);
+    if (transport_ != nullptr)
+      keys_ = membership::ReadKeys(membership_.key_file);
   }
   void Abandon() override { keys_.clear(); }
   void Adopt(const Config&) override {
-    if (transport_ != nullptr) transport_->Adopt(std::exchange(keys_, {}));
+    if (transport_ != nullptr)
+      transport_->Adopt(std::exchange(keys_, {}));
   }
 
   void BeginDrain() override {
-    if (core_ != nullptr) Tell(cluster::Leave{});
+    if (core_ != nullptr)
+      Tell(cluster::Leave{});
   }
 
  private:
@@ -109,7 +116,8 @@
   // An effect may bring an event at once: it waits until the effects before it are carried out.
   void Tell(cluster::Event event) {
     events_.push_back(std::move(event));
-    if (std::exchange(handling_, true)) return;
+    if (std::exchange(handling_, true))
+      return;
     while (!events_.empty()) {
       cluster::Event next = std::move(events_.front());
       events_.pop_front();
@@ -149,7 +157,8 @@
   void LookAtNames() {
     names_timer_.Set(kLookAtNames);
     const std::uint64_t news = around_.reducer->counters().name_table_news;
-    if (std::exchange(seen_news_, news) == news) return;
+    if (std::exchange(seen_news_, news) == news)
+      return;
     cluster::Workers workers;
     for (const auto& [name, instance] : around_.reducer->name_table()) {
       if (instance.source == Instance::Source::kDiscovery && instance.state == Instance::State::kReady)
--- a/src/daemon/control_part.cpp
+++ b/src/daemon/control_part.cpp
@@ -14,23 +14,27 @@
     path_ = c.own.control.socket;
   }
   void Prepare(const Config& next) override {
-    if (next.own.control.socket != path_) made_ = Make(next);
+    if (next.own.control.socket != path_)
+      made_ = Make(next);
   }
   void Abandon() override { made_.reset(); }
   void Adopt(const Config& c) override {
-    if (c.own.control.socket == path_) return;
+    if (c.own.control.socket == path_)
+      return;
     path_ = c.own.control.socket;
     server_ = std::move(made_);
   }
 
  private:
   std::unique_ptr<control::Server> Make(const Config& c) const {
-    if (c.own.control.socket.empty()) return nullptr;
+    if (c.own.control.socket.empty())
+      return nullptr;
     return std::make_unique<control::Server>(
         around_.base, c.own.control.socket,
         [this](const std::string& question) -> std::optional<std::string> {
           const auto found = around_.offers->questions.find(question);
-          if (found == around_.offers->questions.end()) return std::nullopt;
+          if (found == around_.offers->questions.end())
+            return std::nullopt;
           return found->second();
         });
   }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -40,15 +40,18 @@
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER | EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_base* base = event_base_new_with_config(config);
   event_config_free(config);
-  if (base == nullptr) throw std::runtime_error("libevent: no event base");
+  if (base == nullptr)
+    throw std::runtime_error("libevent: no event base");
   return base;
 }
 
 // The platform may add fields; one of them may be a misspelt one that we would have read.
 void TellUnknown(const Config& c) {
-  if (c.unknown.empty()) return;
+  if (c.unknown.empty())
+    return;
   std::string fields;
-  for (const std::string& field : c.unknown) fields += (fields.empty() ? "" : ", ") + field;
+  for (const std::string& field : c.unknown)
+    fields += (fields.empty() ? "" : ", ") + field;
   Log(LogLevel::kWarning, "configuration_fields_unknown", {{"count", c.unknown.size()}, {"fields", fields}});
 }
 
@@ -61,14 +64,16 @@
   TellUnknown(config_);
   const Surroundings around{base_.get(), this, &reducer_, &offers_, [this] { return Now(); }};
   parts_ = MakeParts(around);
-  for (const auto& part : parts_) part->Start(config_);
+  for (const auto& part : parts_)
+    part->Start(config_);
   for (const int number : {SIGTERM, SIGINT, SIGHUP}) {
     signals_.emplace_back(evsignal_new(base_.get(), number, &Daemon::OnSignal, this));
     evsignal_add(signals_.back().get(), nullptr);
   }
   quiet_timer_ = std::make_unique<Timer>(base_.get(), [this] { EndIfQuiet(); });
   Tell(NameTableNews{NameTableNews::Form::kRemembered, Instance::Source::kDiscovery, config_.known});
-  for (const auto& part : parts_) part->Announce();
+  for (const auto& part : parts_)
+    part->Announce();
   Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"remembered", config_.known.size()}});
 }
 
@@ -81,7 +86,8 @@
 void Daemon::Tell(Event event) {
   events_.push_back(std::move(event));
   // An effect may tell of something at once: it waits until the effects before it are all carried out.
-  if (std::exchange(reducing_, true)) return;
+  if (std::exchange(reducing_, true))
+    return;
   while (!events_.empty()) {
     Event next = std::move(events_.front());
     events_.pop_front();
@@ -104,26 +110,32 @@
     Tell(ClientLeft{e.client});
     return Tell(ExecutionEnded{e.execution, Outcome::kNotSent, "", {}});
   }
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)]) runner->Start(e);
+  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
+    runner->Start(e);
 }
 void Daemon::Do(const ResumeExecution& e) {
-  if (offers_.resume) offers_.resume(e);
+  if (offers_.resume)
+    offers_.resume(e);
 }
 void Daemon::Do(const HandOverExecution& e) {
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)]) runner->HandOver(e);
+  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
+    runner->HandOver(e);
 }
 void Daemon::Do(const StopExecution& e) {
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)]) runner->Stop(e.execution);
+  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
+    runner->Stop(e.execution);
 }
 void Daemon::Do(const Answer& e) {
   if (auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)])
     door->Reply(e.client.number, e.answer);
 }
 void Daemon::Do(const ProbeInstance& e) {
-  if (offers_.probe) offers_.probe(e);
+  if (offers_.probe)
+    offers_.probe(e);
 }
 void Daemon::Do(const WatchNameTable&) {
-  if (offers_.watch_name_table) offers_.watch_name_table();
+  if (offers_.watch_name_table)
+    offers_.watch_name_table();
 }
 void Daemon::Do(const LogLine& e) { Log(LogLevel::kInfo, "module", {{"text", e.text}}); }
 
@@ -149,9 +161,11 @@
   Config next;
   try {
     next = ReadConfig(&config_);
-    for (const auto& part : parts_) part->Prepare(next);
+    for (const auto& part : parts_)
+      part->Prepare(next);
   } catch (const std::exception& e) {
-    for (const auto& part : parts_) part->Abandon();
+    for (const auto& part : parts_)
+      part->Abandon();
     const auto* error = dynamic_cast<const ConfigError*>(&e);
     Log(LogLevel::kError, "configuration_refused",
         {{"code", error != nullptr ? error->code() : "failed"},
@@ -164,16 +178,20 @@
   config_ = std::move(next);
   SetUpLog(config_.own.logging);
   TellUnknown(config_);
-  for (const auto& part : parts_) part->Adopt(config_);
+  for (const auto& part : parts_)
+    part->Adopt(config_);
   Tell(SettingsChanged{std::move(core)});
-  for (const auto& part : parts_) part->Adopted(config_);
+  for (const auto& part : parts_)
+    part->Adopted(config_);
   Log(LogLevel::kInfo, "configuration_adopted");
 }
 
 void Daemon::BeginDrain() {
-  if (drain_began_ != 0) return;
+  if (drain_began_ != 0)
+    return;
   drain_began_ = Now();
-  for (const auto& part : parts_) part->BeginDrain();
+  for (const auto& part : parts_)
+    part->BeginDrain();
   Log(LogLevel::kInfo, "draining");
   quiet_timer_->Set(kLookEvery);
 }
--- a/src/daemon/faktory_part.cpp
+++ b/src/daemon/faktory_part.cpp
@@ -15,7 +15,8 @@
   s.silence = c.own.faktory.worker_silence;
   s.return_within = c.own.faktory.worker_return;
   s.most_connections = Shares(c).sessions;
-  for (const auto& klass : c.module.classes) s.classes.emplace(klass.name, klass.deadline);
+  for (const auto& klass : c.module.classes)
+    s.classes.emplace(klass.name, klass.deadline);
   return s;
 }
 
@@ -25,11 +26,14 @@
 
   void Start(const Config& c) override {
     held_ = c.own.faktory;
-    if (held_.enabled) front_ = Make(c);
-    if (front_ != nullptr) Offer();
+    if (held_.enabled)
+      front_ = Make(c);
+    if (front_ != nullptr)
+      Offer();
   }
   void Announce() override {
-    if (front_ == nullptr) return;
+    if (front_ == nullptr)
+      return;
     Log(LogLevel::kInfo, "door",
         {{"name", "faktory"}, {"address", held_.listen.host + ":" + std::to_string(front_->port())}});
   }
@@ -40,7 +44,8 @@
 
   void Prepare(const Config& next) override {
     const FaktorySettings& s = next.own.faktory;
-    if (!s.enabled) return;
+    if (!s.enabled)
+      return;
     if (front_ == nullptr) {
       made_ = Make(next);
     } else if (!held_.enabled || !(s.listen == held_.listen)) {
@@ -57,13 +62,16 @@
       front_ = std::move(made_);
       Offer();
     }
-    if (front_ == nullptr) return;
-    if (held_.enabled) return front_->Adopt(ForFaktory(c), std::move(door_));
+    if (front_ == nullptr)
+      return;
+    if (held_.enabled)
+      return front_->Adopt(ForFaktory(c), std::move(door_));
     front_->Close();
   }
 
   void BeginDrain() override {
-    if (front_ != nullptr) front_->BeginDrain();
+    if (front_ != nullptr)
+      front_->BeginDrain();
   }
   bool Quiet() const override { return front_ == nullptr || front_->Quiet(); }
 
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -42,7 +42,8 @@
 Micros RememberedAt(const std::vector<Instance>& known, Micros now) {
   Micros at = 0;
   for (const Instance& worker : known) {
-    if (worker.started <= now) at = std::max(at, worker.started);
+    if (worker.started <= now)
+      at = std::max(at, worker.started);
   }
   return at;
 }
@@ -64,7 +65,8 @@
       discovery_ = std::make_unique<Discovery>(around_.base, *c.discovery, c.known_version, ClockAtStart(c),
                                                around_.sink);
     // Where lists are pushed the module does not ask, and what the agent has counts as told from the start.
-    if (discovery_ != nullptr && !c.module.subscribe) discovery_->Watch();
+    if (discovery_ != nullptr && !c.module.subscribe)
+      discovery_->Watch();
     clients_ = std::make_unique<ClientFront>(around_.base, c.listen, ForClients(c), around_.sink,
                                              [this] { return Ready(); });
     limits_ = LimitsOf(c);
@@ -86,7 +88,8 @@
     offers.runners[static_cast<std::size_t>(Instance::Source::kDiscovery)] = this;
     offers.doors[static_cast<std::size_t>(ClientRef::Front::kHttp)] = this;
     offers.watch_name_table = [this] {
-      if (discovery_ != nullptr) discovery_->Watch();
+      if (discovery_ != nullptr)
+        discovery_->Watch();
     };
     offers.why_not_ready = [this] { return WhyNotReady(); };
     offers.probe = [this](const ProbeInstance& probe) { instances_->Probe(probe); };
@@ -107,7 +110,8 @@
   bool HasLeft(std::uint64_t client) const override { return clients_->HasLeft(client); }
 
   void Prepare(const Config& next) override {
-    if (!(next.listen == listen_)) door_ = clients_->Open(next.listen);
+    if (!(next.listen == listen_))
+      door_ = clients_->Open(next.listen);
   }
   void Abandon() override { door_.reset(); }
   void Adopt(const Config& c) override {
@@ -116,7 +120,8 @@
     listen_ = c.listen;
   }
   void Adopted(const Config& c) override {
-    if (c.discovery == discovered_at_) return;
+    if (c.discovery == discovered_at_)
+      return;
     discovered_at_ = c.discovery;
     Log(LogLevel::kInfo, "discovery_moved",
         {{"address", c.discovery ? ToText(*c.discovery) : std::string("none")}});
@@ -139,7 +144,8 @@
     // They are numbered as they came; newcomers go to the newest of the others.
     if (others.count() > 0 && clients_->Listens())
       clients_->LeaveNewcomersTo(static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1));
-    if (others.count() > 0) transfer_->SendTo(around_.offers->other_job_socket());
+    if (others.count() > 0)
+      transfer_->SendTo(around_.offers->other_job_socket());
   }
   bool Quiet() const override { return clients_->Quiet() && clients_->SinceLastAccept() >= kQuietFor; }
 
@@ -152,7 +158,8 @@
     return clock;
   }
   std::string WhyNotReady() {
-    if (!Ready()) return "no worker list yet";
+    if (!Ready())
+      return "no worker list yet";
     return clients_->Listens() ? "" : "takes no new clients";
   }
   // What the dispatcher may hold, over all its processes.
@@ -171,7 +178,8 @@
   // Where that fails, only what is in hand at an upgrade is worse off.
   void ReceiveJobs() {
     const std::string path = around_.offers->own_job_socket();
-    if (path.empty()) return;
+    if (path.empty())
+      return;
     try {
       transfer_->ReceiveAt(path);
     } catch (const std::runtime_error& e) {
@@ -183,7 +191,8 @@
     around_.offers->tell_listening(true);
   }
   void ListenOnceReady() {
-    if (Ready()) return Listen();
+    if (Ready())
+      return Listen();
     ready_timer_.Set(kLookIfReadyEvery);
   }
   bool Ready() { return readiness_.Ready(SteadyNow(), around_.reducer->ListConfirmed()); }
--- a/src/daemon/snmp_part.cpp
+++ b/src/daemon/snmp_part.cpp
@@ -12,21 +12,25 @@
 
   void Start(const Config& c) override {
     held_ = c.own.snmp;
-    if (!held_.enabled) return;
+    if (!held_.enabled)
+      return;
     agent_ = std::make_unique<snmp::Agent>(around_.base, held_.listen, [this] {
       snmp::ObjectMap objects = snmp::Objects(around_.reducer->counters());
-      for (const auto& add : around_.offers->snmp_objects) add(&objects);
+      for (const auto& add : around_.offers->snmp_objects)
+        add(&objects);
       return objects;
     });
   }
   void Announce() override {
-    if (agent_ == nullptr) return;
+    if (agent_ == nullptr)
+      return;
     Log(LogLevel::kInfo, "door",
         {{"name", "snmp"}, {"address", held_.listen.host + ":" + std::to_string(agent_->port())}});
   }
   // The library keeps global state, and cannot begin again.
   void Prepare(const Config& next) override {
-    if (!(next.own.snmp == held_)) throw ConfigError("snmp cannot change while the program runs");
+    if (!(next.own.snmp == held_))
+      throw ConfigError("snmp cannot change while the program runs");
   }
 
  private:
--- a/src/daemon/upgrade_part.cpp
+++ b/src/daemon/upgrade_part.cpp
@@ -29,13 +29,15 @@
       return folder_ ? folder_->OthersListening() : upgrade::OtherProcesses{};
     };
     offers.tell_listening = [this](bool listens) {
-      if (folder_) folder_->TellListening(listens);
+      if (folder_)
+        folder_->TellListening(listens);
     };
     offers.own_job_socket = [this] { return folder_ ? folder_->OwnSocket() : std::string(); };
     offers.other_job_socket = [this] { return folder_ ? folder_->NewestListeningSocket() : std::string(); };
     offers.keep_ban = [this](const std::string& worker, bool banned) { Keep(worker, banned); };
     const char* root = std::getenv("TMPDIR");
-    if (!c.mgmt || c.listen.port == 0 || root == nullptr || *root == '\0') return;
+    if (!c.mgmt || c.listen.port == 0 || root == nullptr || *root == '\0')
+      return;
     try {
       folder_.emplace(std::string(root) + "/aldersill-" + ToText(c.listen),
                       static_cast<std::uint64_t>(around_.now()) * 1'000);
@@ -51,8 +53,10 @@
     look_.Set(kLookEvery);
     // One that was killed changes nothing in the folder: those that are there are counted until they are
     // gone.
-    if (!folder_->Changed() && others_ == 0) return;
-    if (folder_->BansChanged()) TakeOver();
+    if (!folder_->Changed() && others_ == 0)
+      return;
+    if (folder_->BansChanged())
+      TakeOver();
     const int others = folder_->Others().count();
     if (std::exchange(others_, others) != others && around_.offers->share_descriptors)
       around_.offers->share_descriptors(1 + others);
@@ -60,22 +64,26 @@
 
   void TakeOver() {
     const std::optional<upgrade::BanList> bans = folder_->ReadBans();
-    if (!bans) return Log(LogLevel::kWarning, "bans_unreadable", {{"effect", "those in force stay"}});
+    if (!bans)
+      return Log(LogLevel::kWarning, "bans_unreadable", {{"effect", "those in force stay"}});
     Apply(*bans);
   }
 
   void Apply(const upgrade::BanList& bans) {
     const upgrade::BanList before = around_.reducer->banned();
     for (const std::string& worker : bans) {
-      if (!before.contains(worker)) around_.sink->Tell(WorkerBanned{worker, true});
+      if (!before.contains(worker))
+        around_.sink->Tell(WorkerBanned{worker, true});
     }
     for (const std::string& worker : before) {
-      if (!bans.contains(worker)) around_.sink->Tell(WorkerBanned{worker, false});
+      if (!bans.contains(worker))
+        around_.sink->Tell(WorkerBanned{worker, false});
     }
   }
 
   void Keep(const std::string& worker, bool banned) {
-    if (!folder_) return around_.sink->Tell(WorkerBanned{worker, banned});
+    if (!folder_)
+      return around_.sink->Tell(WorkerBanned{worker, banned});
     try {
       Apply(folder_->ChangeBans([&](upgrade::BanList* bans) {
         if (banned)
--- a/src/duties/codec.cpp
+++ b/src/duties/codec.cpp
@@ -50,7 +50,8 @@
       m.ballot = TakeBallot(in);
       const bool held = in.Take<bool>();
       const Holder holder = TakeHolder(in);
-      if (held) m.held_by = holder;
+      if (held)
+        m.held_by = holder;
       m.left = in.Take<Micros>();
       return m;
     }
@@ -77,13 +78,15 @@
   return PackMessage([&](MessagePacker& out) {
     std::uint32_t given = 0, mask = 0;
     for (std::size_t i = 0; i < kFigures.size(); ++i) {
-      if ((result.report.*kFigures[i]).has_value()) ++given, mask |= 1U << i;
+      if ((result.report.*kFigures[i]).has_value())
+        ++given, mask |= 1U << i;
     }
     out.pack_array(5 + given);
     out.pack(result.stamp), out.pack(result.origin), out.pack(static_cast<std::uint8_t>(result.outcome));
     out.pack(result.elapsed), out.pack(mask);
     for (const auto figure : kFigures) {
-      if ((result.report.*figure).has_value()) out.pack(static_cast<float>(*(result.report.*figure)));
+      if ((result.report.*figure).has_value())
+        out.pack(static_cast<float>(*(result.report.*figure)));
     }
   });
 }
@@ -96,12 +99,14 @@
     result.stamp = in.Take<std::uint64_t>();
     result.origin = in.Name();
     const auto outcome = in.Take<std::uint8_t>();
-    if (outcome >= kOutcomes) throw std::runtime_error("not an outcome");
+    if (outcome >= kOutcomes)
+      throw std::runtime_error("not an outcome");
     result.outcome = static_cast<Outcome>(outcome);
     result.elapsed = in.Take<Micros>();
     const auto mask = in.Take<std::uint32_t>();
     for (std::size_t i = 0; i < kFigures.size(); ++i) {
-      if ((mask >> i & 1U) != 0) result.report.*kFigures[i] = in.Take<float>();
+      if ((mask >> i & 1U) != 0)
+        result.report.*kFigures[i] = in.Take<float>();
     }
     in.End();
     return result;
@@ -123,7 +128,8 @@
     DutyMessage message;
     message.duty = in.Name();
     const auto kind = in.Take<std::uint32_t>();
-    if (kind >= std::size(kFields)) throw std::runtime_error("not a kind");
+    if (kind >= std::size(kFields))
+      throw std::runtime_error("not a kind");
     message.message = TakeMessage(kind, in);
     in.End();
     return message;
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -27,8 +27,10 @@
 
 Micros Lease::next_due() const {
   Micros due = kNever;
-  if (term_) due = held_until_;
-  if (gave_up_ || !IsVoter(s_.name)) return due;
+  if (term_)
+    due = held_until_;
+  if (gave_up_ || !IsVoter(s_.name))
+    return due;
   return std::min(due, phase_ == Phase::kIdle ? next_try_ : phase_ends_);
 }
 
@@ -59,50 +61,61 @@
 }
 
 void Lease::On(LeaseHeard&& e) {
-  if (!IsVoter(s_.name) || !IsVoter(e.from)) return;
+  if (!IsVoter(s_.name) || !IsVoter(e.from))
+    return;
   std::visit([&](const auto& m) { On(e.from, m); }, e.message);
 }
 
 void Lease::On(const LeaseTime&) {
-  if (gave_up_ || !IsVoter(s_.name)) return;
-  if (phase_ == Phase::kIdle && now_ >= next_try_) Begin();
+  if (gave_up_ || !IsVoter(s_.name))
+    return;
+  if (phase_ == Phase::kIdle && now_ >= next_try_)
+    Begin();
 }
 
 void Lease::On(const GiveUp&) {
   gave_up_ = true;
   phase_ = Phase::kIdle;
-  if (!term_) return;
+  if (!term_)
+    return;
   effects_->push_back(Lost{*std::exchange(term_, std::nullopt)});
   ++counters_.lost;
   TellVoters(Release{Me()});
 }
 
 void Lease::CheckHeld() {
-  if (!term_ || now_ < held_until_) return;
+  if (!term_ || now_ < held_until_)
+    return;
   effects_->push_back(Lost{*std::exchange(term_, std::nullopt)});
   ++counters_.lost;
 }
 
 void Lease::CheckRound() {
-  if (phase_ != Phase::kIdle && now_ >= phase_ends_) Retreat(Drawn(s_.lease / 20, s_.lease / 10));
+  if (phase_ != Phase::kIdle && now_ >= phase_ends_)
+    Retreat(Drawn(s_.lease / 20, s_.lease / 10));
 }
 
 // ---- The voter ----
 
 void Lease::On(const std::string& from, const Prepare& m) {
   highest_seen_ = std::max(highest_seen_, m.ballot.number);
-  if (now_ < silent_until_) return;
-  if (m.ballot < promised_) return Tell(from, Rejected{m.ballot, promised_});
+  if (now_ < silent_until_)
+    return;
+  if (m.ballot < promised_)
+    return Tell(from, Rejected{m.ballot, promised_});
   promised_ = m.ballot;
   Promise promise{m.ballot, Believed(now_), 0};
-  if (promise.held_by) promise.left = accepted_until_ - now_;
+  if (promise.held_by)
+    promise.left = accepted_until_ - now_;
   Tell(from, promise);
 }
 
 void Lease::On(const std::string& from, const Propose& m) {
   highest_seen_ = std::max(highest_seen_, m.ballot.number);
-  if (now_ < silent_until_) return;
-  if (m.ballot < promised_) return Tell(from, Rejected{m.ballot, promised_});
+  if (now_ < silent_until_)
+    return;
+  if (m.ballot < promised_)
+    return Tell(from, Rejected{m.ballot, promised_});
   promised_ = accepted_ballot_ = m.ballot;
   accepted_ = m.holder;
   // One whose settings differ must not have this voter believe in a lease longer than any that it waits for.
@@ -111,8 +124,10 @@
 }
 
 void Lease::On(const std::string&, const Release& m) {
-  if (accepted_ && *accepted_ == m.holder) accepted_.reset();
-  if (phase_ == Phase::kIdle && !term_) next_try_ = std::min(next_try_, now_ + Drawn(0, s_.lease / 20));
+  if (accepted_ && *accepted_ == m.holder)
+    accepted_.reset();
+  if (phase_ == Phase::kIdle && !term_)
+    next_try_ = std::min(next_try_, now_ + Drawn(0, s_.lease / 20));
 }
 
 // ---- Who asks ----
@@ -129,7 +144,8 @@
 }
 
 void Lease::On(const std::string& from, const Promise& m) {
-  if (phase_ != Phase::kPreparing || m.ballot != ballot_) return;
+  if (phase_ != Phase::kPreparing || m.ballot != ballot_)
+    return;
   promises_.insert(from);
   if (!m.held_by || *m.held_by == Me()) {
     free_.insert(from);
@@ -147,14 +163,17 @@
 }
 
 void Lease::On(const std::string& from, const Accepted& m) {
-  if (phase_ != Phase::kProposing || m.ballot != ballot_) return;
+  if (phase_ != Phase::kProposing || m.ballot != ballot_)
+    return;
   accepts_.insert(from);
-  if (!Majority(accepts_)) return;
+  if (!Majority(accepts_))
+    return;
   phase_ = Phase::kIdle;
   const Micros until =
       proposed_at_ + static_cast<Micros>(static_cast<double>(s_.lease) * (1.0 - 2.0 * s_.most_drift));
   next_try_ = proposed_at_ + s_.lease / 3;  // to renew
-  if (until <= now_) return;                // the word came too late
+  if (until <= now_)
+    return;                           // the word came too late
 #ifdef ALDERSILL_PLANT_ENDLESS_LEASE  // planted where a search must find it
   held_until_ = until + 60 * kSecond;
 #else
@@ -171,7 +190,8 @@
 
 void Lease::On(const std::string&, const Rejected& m) {
   highest_seen_ = std::max(highest_seen_, m.highest.number);
-  if (phase_ == Phase::kIdle || m.ballot != ballot_) return;
+  if (phase_ == Phase::kIdle || m.ballot != ballot_)
+    return;
   ++counters_.rejected;
   Retreat(Drawn(s_.lease / 20, s_.lease / 5));
 }
@@ -190,7 +210,8 @@
 }
 
 void Lease::TellVoters(const LeaseMessage& message) {
-  for (const std::string& voter : s_.voters) Tell(voter, message);
+  for (const std::string& voter : s_.voters)
+    Tell(voter, message);
 }
 
 }  // namespace aldersill::duties
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -12,7 +12,8 @@
 }  // namespace
 
 double Ownership::Score(const Member& member, const Worker& worker) {
-  if (member.weight == 0) return -1.0;  // takes no part
+  if (member.weight == 0)
+    return -1.0;  // takes no part
   const std::uint64_t both[] = {member.hash, worker.hash};
   const double drawn = (static_cast<double>(XXH3_64bits(both, sizeof(both)) >> 11) + 0.5) * 0x1.0p-53;
   return -static_cast<double>(member.weight) / std::log(drawn);
@@ -20,13 +21,16 @@
 
 void Ownership::SetMember(const std::string& name, std::uint32_t weight, const Changed& changed) {
   const auto known = members_.find(name);
-  if (known != members_.end() && known->second.weight == weight) return;
-  if (known != members_.end()) RemoveMember(name, changed);
+  if (known != members_.end() && known->second.weight == weight)
+    return;
+  if (known != members_.end())
+    RemoveMember(name, changed);
   const Member member{HashOf(name), weight};
   members_[name] = member;
   for (auto& [worker_name, worker] : workers_) {
     const double score = Score(member, worker);
-    if (score < 0 || (!worker.owner.empty() && score <= worker.score)) continue;
+    if (score < 0 || (!worker.owner.empty() && score <= worker.score))
+      continue;
     worker.owner = name;
     worker.score = score;
     changed(worker_name, name);
@@ -34,15 +38,18 @@
 }
 
 void Ownership::RemoveMember(const std::string& name, const Changed& changed) {
-  if (members_.erase(name) == 0) return;
+  if (members_.erase(name) == 0)
+    return;
   for (auto& [worker_name, worker] : workers_) {
-    if (worker.owner == name) Choose(worker_name, &worker, changed);
+    if (worker.owner == name)
+      Choose(worker_name, &worker, changed);
   }
 }
 
 void Ownership::AddWorker(const std::string& name, const Changed& changed) {
   const auto [at, added] = workers_.emplace(name, Worker{HashOf(name), "", 0.0});
-  if (added) Choose(name, &at->second, changed);
+  if (added)
+    Choose(name, &at->second, changed);
 }
 
 void Ownership::RemoveWorker(const std::string& name) { workers_.erase(name); }
@@ -58,7 +65,8 @@
   worker->score = 0.0;
   for (const auto& [member_name, member] : members_) {
     const double score = Score(member, *worker);
-    if (score < 0 || (!worker->owner.empty() && score <= worker->score)) continue;
+    if (score < 0 || (!worker->owner.empty() && score <= worker->score))
+      continue;
     worker->owner = member_name;
     worker->score = score;
   }
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -27,9 +27,11 @@
 
 Micros ProbeSharing::next_due() const {
   Micros due = kNever;
-  if (!due_.empty() && std::ssize(out_) < s_.most_out) due = due_.begin()->first;
+  if (!due_.empty() && std::ssize(out_) < s_.most_out)
+    due = due_.begin()->first;
   // Numbers and overdue times grow together.
-  if (!out_.empty()) due = std::min(due, out_.begin()->second.overdue_at);
+  if (!out_.empty())
+    due = std::min(due, out_.begin()->second.overdue_at);
   return due;
 }
 
@@ -56,7 +58,8 @@
       continue;
     }
     Unschedule(at->first, &at->second);
-    if (at->second.mine) --owned_;
+    if (at->second.mine)
+      --owned_;
     ownership_.RemoveWorker(at->first);
     at = workers_.erase(at);
   }
@@ -69,15 +72,20 @@
 
 void ProbeSharing::Owned(const std::string& name, const std::string& owner, bool by_departure) {
   const auto found = workers_.find(name);
-  if (found == workers_.end()) return;
+  if (found == workers_.end())
+    return;
   Worker& worker = found->second;
   const bool mine = owner == s_.name;
-  if (mine == worker.mine) return;
+  if (mine == worker.mine)
+    return;
   worker.mine = mine;
   owned_ += mine ? 1 : -1;
-  if (!mine) return Unschedule(name, &worker);  // what is out still counts when it comes
-  if (by_departure) ++counters_.takeovers;
-  if (worker.out) return;
+  if (!mine)
+    return Unschedule(name, &worker);  // what is out still counts when it comes
+  if (by_departure)
+    ++counters_.takeovers;
+  if (worker.out)
+    return;
   // On with the rhythm of the one before; what is behind already, soon.
   const Micros usual = worker.last ? TimeOf(worker.last->stamp) + s_.interval : now_;
   const Micros soon = now_ + Within(by_departure ? s_.interval / kSpreadOver : s_.interval);
@@ -117,17 +125,21 @@
 
 void ProbeSharing::On(ProbeEnded&& e) {
   const auto found = out_.find(e.number);
-  if (found == out_.end()) return;
+  if (found == out_.end())
+    return;
   const std::string name = found->second.worker;
   const bool slept = now_ > found->second.overdue_at + s_.timeout;
   out_.erase(found);
   ++counters_.ended;
   const auto known = workers_.find(name);
-  if (known == workers_.end()) return;
+  if (known == workers_.end())
+    return;
   Worker& worker = known->second;
-  if (worker.out != e.number) return;
+  if (worker.out != e.number)
+    return;
   worker.out.reset();
-  if (worker.mine) Schedule(name, &worker, worker.due);
+  if (worker.mine)
+    Schedule(name, &worker, worker.due);
   if (slept) {
     // It may have come while this instance stood still, and others have long probed since.
     ++counters_.slept_through;
@@ -141,7 +153,8 @@
 
 void ProbeSharing::On(ResultHeard&& e) {
   const auto known = workers_.find(e.result.worker);
-  if (known == workers_.end()) return;
+  if (known == workers_.end())
+    return;
   if (TimeOf(e.result.stamp) > now_ + kMostAhead) {
     ++counters_.from_ahead;
     return;
--- a/src/faktory/codec.cpp
+++ b/src/faktory/codec.cpp
@@ -13,25 +13,30 @@
 
 Json Parse(std::string_view text) {
   Json json = Json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (json.is_discarded()) throw BadCommand("not JSON");
+  if (json.is_discarded())
+    throw BadCommand("not JSON");
   return json;
 }
 
 std::string Text(const Json& json, const char* name, bool required) {
   const auto found = json.find(name);
   if (found == json.end() || found->is_null()) {
-    if (required) throw BadCommand(std::string(name) + " is missing");
+    if (required)
+      throw BadCommand(std::string(name) + " is missing");
     return "";
   }
-  if (!found->is_string()) throw BadCommand(std::string(name) + " must be a string");
+  if (!found->is_string())
+    throw BadCommand(std::string(name) + " must be a string");
   std::string text = found->get<std::string>();
-  if (required && text.empty()) throw BadCommand(std::string(name) + " must not be empty");
+  if (required && text.empty())
+    throw BadCommand(std::string(name) + " must not be empty");
   return text;
 }
 
 std::string Id(const Json& json, const char* name) {
   std::string id = Text(json, name, true);
-  if (id.size() > kLongestId) throw BadCommand(std::string(name) + " is too long");
+  if (id.size() > kLongestId)
+    throw BadCommand(std::string(name) + " is too long");
   // An id also travels as a header and in log lines.
   if (std::any_of(id.begin(), id.end(), [](unsigned char c) { return c <= ' ' || c == 127; }))
     throw BadCommand(std::string(name) + " must hold no blanks or controls");
@@ -39,22 +44,28 @@
 }
 
 Job DecodeJob(const Json& json, const ClassDeadlines& classes) {
-  if (!json.is_object()) throw BadCommand("a job must be an object");
+  if (!json.is_object())
+    throw BadCommand("a job must be an object");
   Job job;
   job.id = Id(json, "jid");
   job.klass = Text(json, "jobtype", true);
   const auto klass = classes.find(job.klass);
-  if (klass == classes.end()) throw BadCommand("jobtype '" + job.klass + "' is no class");
+  if (klass == classes.end())
+    throw BadCommand("jobtype '" + job.klass + "' is no class");
   const auto args = json.find("args");
-  if (args == json.end() || !args->is_array()) throw BadCommand("args must be a list");
+  if (args == json.end() || !args->is_array())
+    throw BadCommand("args must be a list");
   job.time_left = klass->second;
   if (const auto custom = json.find("custom"); custom != json.end() && !custom->is_null()) {
-    if (!custom->is_object()) throw BadCommand("custom must be an object");
+    if (!custom->is_object())
+      throw BadCommand("custom must be an object");
     job.tenant = Text(*custom, "tenant", false);
     if (const auto deadline = custom->find("deadline_ms"); deadline != custom->end()) {
-      if (!deadline->is_number()) throw BadCommand("custom.deadline_ms must be a number");
+      if (!deadline->is_number())
+        throw BadCommand("custom.deadline_ms must be a number");
       const double ms = deadline->get<double>();
-      if (!(ms > 0.0)) throw BadCommand("custom.deadline_ms must be positive");
+      if (!(ms > 0.0))
+        throw BadCommand("custom.deadline_ms must be positive");
       job.time_left = std::min(job.time_left, static_cast<Micros>(std::min(ms, 1e9) * 1e3));
     }
     if (const auto slots = custom->find("slots"); slots != custom->end()) {
@@ -76,19 +87,25 @@
 
 Hello DecodeHello(std::string_view text) {
   const Json json = Parse(text);
-  if (!json.is_object()) throw BadCommand("HELLO takes an object");
+  if (!json.is_object())
+    throw BadCommand("HELLO takes an object");
   Hello hello;
   if (const auto v = json.find("v"); v != json.end()) {
-    if (!v->is_number_integer()) throw BadCommand("v must be a whole number");
+    if (!v->is_number_integer())
+      throw BadCommand("v must be a whole number");
     hello.version = v->get<int>();
   }
-  if (json.contains("wid") && json["wid"] != "" && !json["wid"].is_null()) hello.wid = Id(json, "wid");
+  if (json.contains("wid") && json["wid"] != "" && !json["wid"].is_null())
+    hello.wid = Id(json, "wid");
   if (const auto labels = json.find("labels"); labels != json.end() && labels->is_array()) {
     for (const Json& label : *labels) {
-      if (!label.is_string()) continue;
+      if (!label.is_string())
+        continue;
       const std::string text_of = label.get<std::string>();
-      if (text_of.starts_with("zone:")) hello.zone = text_of.substr(5);
-      if (text_of.starts_with("kind:")) hello.kind = text_of.substr(5);
+      if (text_of.starts_with("zone:"))
+        hello.zone = text_of.substr(5);
+      if (text_of.starts_with("kind:"))
+        hello.kind = text_of.substr(5);
     }
   }
   return hello;
@@ -100,13 +117,16 @@
 
 std::vector<Pushed> DecodePushBulk(std::string_view text, const ClassDeadlines& classes) {
   const Json json = Parse(text);
-  if (!json.is_array()) throw BadCommand("PUSHB takes a list");
+  if (!json.is_array())
+    throw BadCommand("PUSHB takes a list");
   std::vector<Pushed> all;
   for (const Json& item : json) {
     Pushed& pushed = all.emplace_back();
-    if (item.is_object() && item.contains("jid") && item["jid"].is_string()) pushed.jid = item["jid"];
+    if (item.is_object() && item.contains("jid") && item["jid"].is_string())
+      pushed.jid = item["jid"];
     // Its reply names jobs by their jid: one without cannot be told of.
-    if (pushed.jid.empty()) throw BadCommand("jid is missing");
+    if (pushed.jid.empty())
+      throw BadCommand("jid is missing");
     try {
       pushed.job = DecodeJob(item, classes);
     } catch (const BadCommand& e) {
@@ -118,7 +138,8 @@
 
 std::string EncodePushBulkReply(const std::vector<std::pair<std::string, std::string>>& errors) {
   Json json = Json::object();
-  for (const auto& [jid, error] : errors) json[jid] = error;
+  for (const auto& [jid, error] : errors)
+    json[jid] = error;
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -130,8 +151,10 @@
   } else {
     json = {{"jid", job.id}, {"jobtype", job.klass}, {"args", {job.body}}, {"custom", Json::object()}};
     json["custom"]["target"] = job.target;
-    if (!job.tenant.empty()) json["custom"]["tenant"] = job.tenant;
-    if (!job.idempotency_key.empty()) json["custom"]["idempotency_key"] = job.idempotency_key;
+    if (!job.tenant.empty())
+      json["custom"]["tenant"] = job.tenant;
+    if (!job.idempotency_key.empty())
+      json["custom"]["idempotency_key"] = job.idempotency_key;
   }
   json["queue"] = "default";
   json["reserve_for"] = reserve_for;
@@ -141,7 +164,8 @@
 
 Ack DecodeAck(std::string_view text) {
   const Json json = Parse(text);
-  if (!json.is_object()) throw BadCommand("ACK and FAIL take an object");
+  if (!json.is_object())
+    throw BadCommand("ACK and FAIL take an object");
   Ack ack;
   ack.jid = Id(json, "jid");
   if (const auto result = json.find("result"); result != json.end() && !result->is_null())
@@ -152,7 +176,8 @@
 
 Beat DecodeBeat(std::string_view text) {
   const Json json = Parse(text);
-  if (!json.is_object()) throw BadCommand("BEAT takes an object");
+  if (!json.is_object())
+    throw BadCommand("BEAT takes an object");
   const std::string state = Text(json, "current_state", false);
   if (!state.empty() && state != "quiet" && state != "terminate")
     throw BadCommand("current_state must be quiet or terminate");
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -83,12 +83,15 @@
 
   void Settle(std::uint64_t client, const FinalAnswer& answer) {
     const auto at = std::find(pushes_.begin(), pushes_.end(), client);
-    if (at == pushes_.end()) return;
+    if (at == pushes_.end())
+      return;
     const bool served = std::holds_alternative<Served>(answer);
     if (state_ == State::kBulk) {
-      if (!served) bulk_errors_.emplace_back(bulk_jids_[client], Describe(answer));
+      if (!served)
+        bulk_errors_.emplace_back(bulk_jids_[client], Describe(answer));
       pushes_.erase(at);
-      if (pushes_.empty() && !filling_) FinishBulk();
+      if (pushes_.empty() && !filling_)
+        FinishBulk();
       return;
     }
     pushes_.erase(at);
@@ -113,12 +116,15 @@
   }
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* s = static_cast<Session*>(arg);
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0) s->front_->Remove(s);
+    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0)
+      s->front_->Remove(s);
   }
 
   void OnTimer() {
-    if (state_ == State::kGreeting) return front_->Remove(this);  // never said HELLO
-    if (state_ != State::kFetching) return;
+    if (state_ == State::kGreeting)
+      return front_->Remove(this);  // never said HELLO
+    if (state_ != State::kFetching)
+      return;
     front_->Unpark(this);
     Answer(NullBulk());
   }
@@ -130,16 +136,19 @@
       std::size_t size = 0;
       char* line = evbuffer_readln(input, &size, EVBUFFER_EOL_CRLF);
       if (line == nullptr) {
-        if (evbuffer_get_length(input) > kMostLine) End(Error("ERR", "command too long"));
+        if (evbuffer_get_length(input) > kMostLine)
+          End(Error("ERR", "command too long"));
         return;
       }
       const std::string text(line, size);
       std::free(line);
-      if (size > kMostLine) return End(Error("ERR", "command too long"));
+      if (size > kMostLine)
+        return End(Error("ERR", "command too long"));
       try {
         Perform(DecodeCommand(text));
       } catch (const BadCommand& e) {
-        if (state_ == State::kGreeting) return End(Error("ERR", e.what()));
+        if (state_ == State::kGreeting)
+          return End(Error("ERR", e.what()));
         Write(Error("ERR", e.what()));
       }
     }
@@ -153,24 +162,32 @@
 
   void Perform(const Command& c) {
     if (state_ == State::kGreeting) {
-      if (c.verb != "HELLO") throw BadCommand("HELLO comes first");
+      if (c.verb != "HELLO")
+        throw BadCommand("HELLO comes first");
       const Hello hello = DecodeHello(c.argument);
-      if (hello.version != 2) throw BadCommand("only version 2 is spoken here");
+      if (hello.version != 2)
+        throw BadCommand("only version 2 is spoken here");
       timer_.Clear();
       state_ = State::kReady;
       Write(SimpleString("OK"));
-      if (!hello.wid.empty()) front_->Enter(this, hello);
+      if (!hello.wid.empty())
+        front_->Enter(this, hello);
       return;
     }
-    if (!worker_.empty()) front_->Heard(worker_);
-    if (c.verb == "PUSH") return Push(c.argument);
-    if (c.verb == "PUSHB") return PushBulk(c.argument);
-    if (c.verb == "FETCH") return Fetch();
+    if (!worker_.empty())
+      front_->Heard(worker_);
+    if (c.verb == "PUSH")
+      return Push(c.argument);
+    if (c.verb == "PUSHB")
+      return PushBulk(c.argument);
+    if (c.verb == "FETCH")
+      return Fetch();
     if (c.verb == "ACK")
       return Write(front_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kServed));
     if (c.verb == "FAIL")
       return Write(front_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kError));
-    if (c.verb == "BEAT") return Write(front_->Hear(NeedWorker(), DecodeBeat(c.argument)));
+    if (c.verb == "BEAT")
+      return Write(front_->Hear(NeedWorker(), DecodeBeat(c.argument)));
     if (c.verb == "INFO") {
       return Write(BulkString(EncodeInfo({front_->sessions_.size(), front_->workers_.size(), front_->pushed_,
                                           front_->done_, front_->failed_, SteadyNow() - front_->began_})));
@@ -185,7 +202,8 @@
   }
 
   const std::string& NeedWorker() const {
-    if (worker_.empty()) throw BadCommand("only a worker, with a wid in its HELLO, may do this");
+    if (worker_.empty())
+      throw BadCommand("only a worker, with a wid in its HELLO, may do this");
     return worker_;
   }
 
@@ -210,7 +228,8 @@
       front_->Take(this, std::move(*pushed.job));
     }
     filling_ = false;
-    if (pushes_.empty()) FinishBulk();
+    if (pushes_.empty())
+      FinishBulk();
   }
 
   void FinishBulk() { Answer(BulkString(EncodePushBulkReply(bulk_errors_))); }
@@ -250,7 +269,8 @@
 
 void Front::Adopt(FrontSettings settings, EventPtr<evconnlistener> listener) {
   s_ = std::move(settings);
-  if (listener == nullptr) return;
+  if (listener == nullptr)
+    return;
   if (listener_ == nullptr) {
     drain_began_ = 0;
     drain_timer_.Clear();
@@ -273,7 +293,8 @@
 }
 
 void Front::BeginDrain() {
-  if (drain_began_ != 0) return;
+  if (drain_began_ != 0)
+    return;
   drain_began_ = SteadyNow();
   CloseIdle();
 }
@@ -286,9 +307,11 @@
 void Front::CloseIdle() {
   std::vector<Session*> idle;
   for (const auto& [raw, owned] : sessions_) {
-    if (raw->worker().empty() && raw->Idle(drain_began_)) idle.push_back(raw);
+    if (raw->worker().empty() && raw->Idle(drain_began_))
+      idle.push_back(raw);
   }
-  for (Session* one : idle) Remove(one);
+  for (Session* one : idle)
+    Remove(one);
   drain_timer_.Set(kCloseEvery);
 }
 
@@ -310,7 +333,8 @@
 
 void Front::Reply(std::uint64_t client, const FinalAnswer& answer) {
   const auto found = clients_.find(client);
-  if (found == clients_.end()) return;
+  if (found == clients_.end())
+    return;
   Session* session = found->second;
   clients_.erase(found);
   ++(std::holds_alternative<Served>(answer) ? done_ : failed_);
@@ -335,7 +359,8 @@
     });
   }
   w.silence->Set(s_.silence);
-  if (w.sessions++ > 0) return;
+  if (w.sessions++ > 0)
+    return;
   w.instance.state = w.quiet ? Instance::State::kDraining : Instance::State::kReady;
   TellState(w);
 }
@@ -362,11 +387,13 @@
     w.fetching.pop_back();
     return HandOver(&w, session, next);
   }
-  if (w.instance.state == Instance::State::kReady) TellFree(w);
+  if (w.instance.state == Instance::State::kReady)
+    TellFree(w);
 }
 
 void Front::Unpark(Session* session) {
-  if (!session->parked()) return;
+  if (!session->parked())
+    return;
   std::erase(workers_.at(session->worker()).fetching, session);
 }
 
@@ -395,15 +422,18 @@
 
 void Front::Stop(ExecutionNo execution) {
   const auto found = executions_.find(execution);
-  if (found == executions_.end()) return;
+  if (found == executions_.end())
+    return;
   const auto worker = workers_.find(found->second);
   executions_.erase(found);
-  if (worker == workers_.end()) return;  // it left, and with it all that it had
+  if (worker == workers_.end())
+    return;  // it left, and with it all that it had
   Worker& w = worker->second;
   std::erase_if(w.waiting, [execution](const StartExecution& s) { return s.execution == execution; });
   const auto held = std::find_if(w.held.begin(), w.held.end(),
                                  [&](const auto& h) { return h.second.execution == execution; });
-  if (held == w.held.end()) return;
+  if (held == w.held.end())
+    return;
   // The worker has no way to hear of it: its ACK will come, and must be known from one for a job it never
   // had. A worker that never acknowledges must not fill our memory with what it owes.
   if (w.given_up.size() >= kMostGivenUp) {
@@ -424,7 +454,8 @@
     return SimpleString("OK");  // nobody waits for it any more
   }
   const auto held = w.held.find(ack.jid);
-  if (held == w.held.end()) return Error("ERR", "unknown job " + ack.jid);
+  if (held == w.held.end())
+    return Error("ERR", "unknown job " + ack.jid);
   const ExecutionNo execution = held->second.execution;
   w.held.erase(held);
   executions_.erase(execution);
@@ -433,9 +464,11 @@
 }
 
 std::string Front::Hear(const std::string& wid, const Beat& beat) {
-  if (kPrefix + beat.wid != wid) return Error("ERR", "BEAT of another wid");
+  if (kPrefix + beat.wid != wid)
+    return Error("ERR", "BEAT of another wid");
   Worker& w = workers_.at(wid);
-  if (beat.state.empty() || std::exchange(w.quiet, true)) return SimpleString("OK");
+  if (beat.state.empty() || std::exchange(w.quiet, true))
+    return SimpleString("OK");
   w.instance.state = Instance::State::kDraining;
   TellState(w);
   return SimpleString("OK");
@@ -444,15 +477,18 @@
 void Front::Leave(Session* session, bool by_end) {
   const std::string name = session->worker();
   Worker& w = workers_.at(name);
-  if (!by_end && w.sessions == 1) return Lose(name);
+  if (!by_end && w.sessions == 1)
+    return Lose(name);
   --w.sessions;
   std::vector<ExecutionNo> lost;
   for (auto& [jid, held] : w.held) {
-    if (held.session != session) continue;
+    if (held.session != session)
+      continue;
     // A client library's pool ends idle connections while their jobs run, acknowledges over any of them, and
     // opens the next a moment after it has ended the last.
     held.session = nullptr;
-    if (!by_end) lost.push_back(held.execution);
+    if (!by_end)
+      lost.push_back(held.execution);
   }
   if (w.sessions == 0) {
     w.silence->Set(s_.return_within);
@@ -467,7 +503,8 @@
 }
 
 void Front::Release(const Worker& worker) {
-  for (const auto& [jid, execution] : worker.given_up) sink_->Tell(ExecutionReleased{execution});
+  for (const auto& [jid, execution] : worker.given_up)
+    sink_->Tell(ExecutionReleased{execution});
 }
 
 void Front::Lose(const std::string& name) {
@@ -476,12 +513,16 @@
   workers_.erase(found);
   std::vector<Session*> its;
   for (const auto& [raw, owned] : sessions_) {
-    if (raw->worker() == name) its.push_back(raw);
+    if (raw->worker() == name)
+      its.push_back(raw);
   }
-  for (Session* one : its) Remove(one);
+  for (Session* one : its)
+    Remove(one);
   std::vector<ExecutionNo> lost, unsent;
-  for (const auto& [jid, held] : gone.held) lost.push_back(held.execution);
-  for (const StartExecution& start : gone.waiting) unsent.push_back(start.execution);
+  for (const auto& [jid, held] : gone.held)
+    lost.push_back(held.execution);
+  for (const StartExecution& start : gone.waiting)
+    unsent.push_back(start.execution);
   gone.instance.state = Instance::State::kGone;
   // The name table first: what is lost here must not be sent here again.
   TellState(gone);
@@ -498,14 +539,16 @@
 
 void Front::Remove(Session* session) {
   const auto found = sessions_.find(session);
-  if (found == sessions_.end()) return;
+  if (found == sessions_.end())
+    return;
   const std::unique_ptr<Session> owned = std::move(found->second);
   sessions_.erase(found);
   for (const std::uint64_t client : session->pushes_) {
     clients_.erase(client);
     sink_->Tell(ClientLeft{{ClientRef::Front::kFaktory, client}});
   }
-  if (!workers_.contains(session->worker())) return;  // a producer's, or its worker is gone already
+  if (!workers_.contains(session->worker()))
+    return;  // a producer's, or its worker is gone already
   Unpark(session);
   Leave(session, session->ended());
 }
--- a/src/faktory/resp.cpp
+++ b/src/faktory/resp.cpp
@@ -12,10 +12,13 @@
 Command DecodeCommand(std::string_view line) {
   const std::size_t space = line.find(' ');
   Command command{std::string(line.substr(0, space)), ""};
-  for (char& c : command.verb) c = static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
-  if (space == std::string_view::npos) return command;
+  for (char& c : command.verb)
+    c = static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
+  if (space == std::string_view::npos)
+    return command;
   const std::size_t begin = line.find_first_not_of(' ', space);
-  if (begin != std::string_view::npos) command.argument = line.substr(begin);
+  if (begin != std::string_view::npos)
+    command.argument = line.substr(begin);
   return command;
 }
 
--- a/src/http/call_pacing.h
+++ b/src/http/call_pacing.h
@@ -17,7 +17,8 @@
  public:
   // `dispatchers`: that call the same discovery, this one included. `longest`: no first call is put off for
   // longer, in microseconds, and no repeat, but where that many fill discovery by their repeats alone, which
-  // are all dead then: there it is twice as long. `seed`: must differ between dispatchers, or they call in step.
+  // are all dead then: there it is twice as long. `seed`: must differ between dispatchers, or they call in
+  // step.
   CallPacing(int dispatchers, Micros longest, std::uint64_t seed)
       : spread_(std::clamp<Micros>(dispatchers * kCallTime, 1, std::max<Micros>(longest, 1))),
         longest_(std::max({spread_, std::min(longest, kLongestBackOff),
--- a/src/http/client_front.cpp
+++ b/src/http/client_front.cpp
@@ -52,7 +52,8 @@
 // For the log, of a request that may be no good: its first.
 std::string IdOf(const HttpRequest& request) {
   for (const auto& [name, value] : request.headers) {
-    if (evutil_ascii_strcasecmp(name.c_str(), "Req-Id") == 0) return value;
+    if (evutil_ascii_strcasecmp(name.c_str(), "Req-Id") == 0)
+      return value;
   }
   return "";
 }
@@ -121,11 +122,14 @@
   using Spareness = std::pair<Spare, Micros>;
   // Only one that would go before `least` is looked at closely: the kernel is asked about few.
   Spareness Judge(Micros now, Spareness least) const {
-    if (state_ == State::kLingering) return {Spare::kTold, since_};
+    if (state_ == State::kLingering)
+      return {Spare::kTold, since_};
     const bool stuck = state_ == State::kWriting && now - since_ > kSecond;  // reads no answer
     const bool halfway = state_ == State::kReading && reader_.begun() && now - begun_ > kPieces;
-    if (stuck || halfway) return {Spare::kHalfway, since_};
-    if (state_ != State::kReading || reader_.begun() || now - since_ < kFresh) return {Spare::kNever, 0};
+    if (stuck || halfway)
+      return {Spare::kHalfway, since_};
+    if (state_ != State::kReading || reader_.begun() || now - since_ < kFresh)
+      return {Spare::kNever, 0};
     const Spareness quiet{served_ > 0 ? Spare::kIdle : Spare::kSilent, since_};
     return quiet < least && Unread() ? Spareness{Spare::kNever, 0} : quiet;
   }
@@ -135,7 +139,8 @@
     // A newcomer is about to send its request, whether it came after the signal or right before; it is closed
     // with its answer.
     const Micros now = SteadyNow();
-    if (served_ == 0 && now - since_ < kNewcomerGrace && now < front_->AnswerBy()) return false;
+    if (served_ == 0 && now - since_ < kNewcomerGrace && now < front_->AnswerBy())
+      return false;
     return state_ == State::kReading && !Unread();
   }
   // Ends it between requests. Our end goes first: what crosses it is read and thrown away, never sent on, and
@@ -147,7 +152,8 @@
   bool Told() const { return state_ == State::kLingering; }
 
   void Reply(const FinalAnswer& answer) {
-    if (const auto* served = std::get_if<Served>(&answer)) return Write(200, served->result);
+    if (const auto* served = std::get_if<Served>(&answer))
+      return Write(200, served->result);
     if (const auto* nack = std::get_if<Nack>(&answer))
       return Write(503, "refused: trying again is harmless\n",
                    "Retry-After: " + DecimalSeconds(nack->retry_after) + "\r\n");
@@ -164,7 +170,8 @@
   std::uint64_t client() const { return client_; }  // 0 without a request in hand
   // What another process needs to answer the request in hand; nothing where bytes behind it would be lost.
   std::optional<HeldConnection> Held() const {
-    if (state_ != State::kHeld || rest_ != nullptr || Waiting() || Ended()) return std::nullopt;
+    if (state_ != State::kHeld || rest_ != nullptr || Waiting() || Ended())
+      return std::nullopt;
     return HeldConnection{bufferevent_getfd(stream_.get()), keep_ && !last_, head_only_};
   }
   // Goes on with the request that another process read.
@@ -200,12 +207,15 @@
   }
   static void OnWritten(bufferevent* stream, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if (evbuffer_get_length(bufferevent_get_output(stream)) > 0) return;
-    if (c->state_ == State::kWriting) c->Written();
+    if (evbuffer_get_length(bufferevent_get_output(stream)) > 0)
+      return;
+    if (c->state_ == State::kWriting)
+      c->Written();
   }
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) == 0) return;
+    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) == 0)
+      return;
     // One that has ended its sending, with an answer on its way, still reads that.
     if ((what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) == 0 && c->state_ == State::kWriting) {
       c->last_ = true;
@@ -215,10 +225,13 @@
   }
 
   void OnTimer() {
-    if (state_ == State::kLingering) return front_->Remove(this);
-    if (state_ != State::kReading) return;
+    if (state_ == State::kLingering)
+      return front_->Remove(this);
+    if (state_ != State::kReading)
+      return;
     // What has come in the same moment is read first.
-    if (Waiting()) return timer_.Set(kCloseEvery);
+    if (Waiting())
+      return timer_.Set(kCloseEvery);
     reader_.begun() ? Expire() : Shut();
   }
 
@@ -226,11 +239,13 @@
     evbuffer* input = bufferevent_get_input(stream_.get());
     while (state_ == State::kReading) {
       const std::size_t size = evbuffer_get_contiguous_space(input);
-      if (size == 0) return;
+      if (size == 0)
+        return;
       // The time counts from a request's first byte, not anew with each.
       if (!reader_.begun()) {
         begun_ = SteadyNow();
-        if (served_ > 0) timer_.Set(kArrival);
+        if (served_ > 0)
+          timer_.Set(kArrival);
       }
       const auto* bytes =
           reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
@@ -238,8 +253,10 @@
         evbuffer_drain(input, reader_.Read({bytes, size}));
         if (!Count(reader_.whole() ? 0 : reader_.held()))
           throw BadRequest(503, "no room for so large a request now");
-        if (reader_.WantsContinue()) bufferevent_write(stream_.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25);
-        if (reader_.whole()) Take();
+        if (reader_.WantsContinue())
+          bufferevent_write(stream_.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25);
+        if (reader_.whole())
+          Take();
       } catch (const BadRequest& e) {
         return Refuse(e.code, e.what());
       }
@@ -252,7 +269,8 @@
   // sent on. So the rest is thrown away, and with it the order of the stream: the answer ends the connection.
   void KeepForLater() {
     const std::size_t size = evbuffer_get_length(bufferevent_get_input(stream_.get()));
-    if (Count(size) && size <= RequestReader::kMostBytes) return;
+    if (Count(size) && size <= RequestReader::kMostBytes)
+      return;
     last_ = true;
     ThrowAwayRest();
   }
@@ -273,7 +291,8 @@
     head_only_ = request.method == "HEAD";
 #ifdef ALDERSILL_PLANT_READY_LATE  // planted where a search must find it
     static const Micros since = SteadyNow();
-    if (request.target == "/-/ready" && SteadyNow() < since + 12 * kSecond) return Write(503, "not ready\n");
+    if (request.target == "/-/ready" && SteadyNow() < since + 12 * kSecond)
+      return Write(503, "not ready\n");
 #endif
     if (request.target == "/-/ready" && request.method == "GET")
       return front_->ready_() ? Write(200, "ready\n") : Write(503, "not ready: no worker list yet\n");
@@ -317,16 +336,19 @@
     since_ = SteadyNow();
     last_ = last_ || !keep_ || front_->drain_began_ != 0;
     std::string text = "HTTP/1.1 " + std::to_string(code) + " " + ReasonOf(code) + "\r\n";
-    if (last_) text += "Connection: close\r\n";
+    if (last_)
+      text += "Connection: close\r\n";
     text += headers + "Content-Type: text/plain; charset=utf-8\r\nDate: " + DateNow() +
             "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-    if (!head_only_) text += body;
+    if (!head_only_)
+      text += body;
     bufferevent_write(stream_.get(), text.data(), text.size());
   }
 
   void Written() {
     since_ = SteadyNow();
-    if (last_) return Linger(kLinger);
+    if (last_)
+      return Linger(kLinger);
     state_ = State::kReading;
     reader_.Reset();
     timer_.Set(kIdle);
@@ -338,7 +360,8 @@
     bufferevent_disable(stream_.get(), EV_WRITE);
     shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
     timer_.Set(within);
-    if (rest_ == nullptr) ThrowAwayRest();
+    if (rest_ == nullptr)
+      ThrowAwayRest();
   }
 
   // Nothing that comes from here on is kept; its end is still seen.
@@ -356,10 +379,13 @@
     auto* c = static_cast<Connection*>(arg);
     // The kernel lets go of the bytes without handing them over.
     const ssize_t size = recv(fd, nullptr, kLingerGulp, MSG_TRUNC | MSG_DONTWAIT);
-    if (size < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (size > 0 && (c->thrown_away_ += static_cast<std::size_t>(size)) < kLingerBytes) return;
+    if (size < 0 && (errno == EAGAIN || errno == EINTR))
+      return;
+    if (size > 0 && (c->thrown_away_ += static_cast<std::size_t>(size)) < kLingerBytes)
+      return;
     // One that has ended its sending, with an answer on its way, still reads that.
-    if (size == 0 && c->state_ == State::kWriting) return c->rest_.reset();
+    if (size == 0 && c->state_ == State::kWriting)
+      return c->rest_.reset();
     c->front_->Remove(c);
   }
 
@@ -404,7 +430,8 @@
   s_ = std::move(settings);
   if (listener != nullptr) {
     listener_ = std::move(listener);
-    if (listens_) Listen();
+    if (listens_)
+      Listen();
   }
   MindTheDoor();
 }
@@ -428,7 +455,8 @@
 // As where the descriptors are spent: the newcomer stays in the queue and would wake us up again at once.
 void ClientFront::OnAcceptFailed(evconnlistener*, void* self) {
   auto* front = static_cast<ClientFront*>(self);
-  if (!front->MakeRoom()) front->ShutDoor();
+  if (!front->MakeRoom())
+    front->ShutDoor();
 }
 
 bool ClientFront::MakeRoom() {
@@ -441,11 +469,13 @@
   Connection::Spareness least{Spare::kNever, 0};
   for (const auto& [connection, owned] : connections_) {
     const auto spareness = connection->Judge(now, least);
-    if (spareness >= least) continue;
+    if (spareness >= least)
+      continue;
     least = spareness;
     best = connection;
   }
-  if (best == nullptr) return false;
+  if (best == nullptr)
+    return false;
   // At once, as its descriptor is needed: a request that crosses this meets a reset and is sent again on a
   // new connection. One at rest has nothing unread before it, and its last answer is at least kFresh old.
   Remove(best);
@@ -454,7 +484,8 @@
 
 // Where nobody can be spared, newcomers wait in the listen queue: instance links need the other descriptors.
 void ClientFront::MindTheDoor() {
-  if (!listens_) return;
+  if (!listens_)
+    return;
   if (connections_.size() < s_.most_connections || MakeRoom()) {
     evconnlistener_enable(listener_.get());
     return;
@@ -463,7 +494,8 @@
 }
 
 void ClientFront::ShutDoor() {
-  if (!listens_) return;
+  if (!listens_)
+    return;
   Log(LogLevel::kWarning, "client_connections_full",
       {{"connections", connections_.size()}, {"with_a_request", held_.size()}});
   evconnlistener_disable(listener_.get());
@@ -472,11 +504,13 @@
 
 void ClientFront::Remove(Connection* connection) {
   const auto found = connections_.find(connection);
-  if (found == connections_.end()) return;
+  if (found == connections_.end())
+    return;
   const std::unique_ptr<Connection> owned = std::move(found->second);
   connections_.erase(found);
   const std::uint64_t client = owned->client();
-  if (held_.erase(client) > 0) sink_->Tell(ClientLeft{{ClientRef::Front::kHttp, client}});
+  if (held_.erase(client) > 0)
+    sink_->Tell(ClientLeft{{ClientRef::Front::kHttp, client}});
 }
 
 void ClientFront::TurnedAway(int status, const std::string& why, const std::string& id) {
@@ -491,12 +525,14 @@
     Log(LogLevel::kWarning, "requests_turned_away",
         {{"status", n.status}, {"why", n.why}, {"count", n.count}, {"example", n.example}});
   }
-  if (const auto wait = turned_away_.NextIn(now)) turned_away_timer_.Set(std::max<Micros>(1, *wait));
+  if (const auto wait = turned_away_.NextIn(now))
+    turned_away_timer_.Set(std::max<Micros>(1, *wait));
 }
 
 void ClientFront::Reply(std::uint64_t client, const FinalAnswer& answer) {
   const auto found = held_.find(client);
-  if (found == held_.end()) return;
+  if (found == held_.end())
+    return;
   Connection* connection = found->second;
   held_.erase(found);
   connection->Reply(answer);
@@ -509,13 +545,15 @@
 
 std::optional<HeldConnection> ClientFront::Borrow(std::uint64_t client) const {
   const auto found = held_.find(client);
-  if (found == held_.end()) return std::nullopt;
+  if (found == held_.end())
+    return std::nullopt;
   return found->second->Held();
 }
 
 void ClientFront::Forget(std::uint64_t client) {
   const auto found = held_.find(client);
-  if (found == held_.end()) return;
+  if (found == held_.end())
+    return;
   Connection* connection = found->second;
   held_.erase(found);
   connections_.erase(connection);
@@ -532,7 +570,8 @@
 }
 
 void ClientFront::BeginDrain() {
-  if (drain_began_ != 0) return;
+  if (drain_began_ != 0)
+    return;
   drain_began_ = last_accept_ = SteadyNow();
   CloseIdle();
 }
@@ -547,7 +586,8 @@
 // Those whose handshake was under way are in the queue by now, or have been taken.
 void ClientFront::StopListening() {
   const Micros since = SinceLastAccept();
-  if (since < kHandshake) return leave_timer_.Set(kHandshake - since);
+  if (since < kHandshake)
+    return leave_timer_.Set(kHandshake - since);
   listens_ = false;
   room_timer_.Clear();
   evconnlistener_disable(listener_.get());
@@ -557,8 +597,10 @@
 void ClientFront::CloseIdle() {
   const bool late = SteadyNow() >= AnswerBy();
   for (const auto& [connection, owned] : connections_) {
-    if (connection->Idle()) connection->Shut();
-    if (late && connection->Halfway()) connection->Expire();
+    if (connection->Idle())
+      connection->Shut();
+    if (late && connection->Halfway())
+      connection->Expire();
   }
   drain_timer_.Set(kCloseEvery);
 }
@@ -569,12 +611,14 @@
 
 std::optional<Micros> ClientFront::LeftWhileDraining() const {
   const Micros now = SteadyNow();
-  if (drain_began_ == 0 || now - drain_began_ < kLateFrom) return std::nullopt;
+  if (drain_began_ == 0 || now - drain_began_ < kLateFrom)
+    return std::nullopt;
   return std::max<Micros>(0, AnswerBy() - now);
 }
 
 bool ClientFront::Quiet() const {
-  if (connections_.empty()) return true;
+  if (connections_.empty())
+    return true;
   // Peers that have their answers and never close must not keep the program until it is killed.
   return drain_began_ != 0 && SteadyNow() >= AnswerBy() &&
          std::all_of(connections_.begin(), connections_.end(), [](const auto& c) { return c.first->Told(); });
--- a/src/http/codec.cpp
+++ b/src/http/codec.cpp
@@ -16,11 +16,13 @@
 
 LoadReport LoadOf(const Json& json) {
   LoadReport load;
-  if (!json.is_object()) return load;
+  if (!json.is_object())
+    return load;
   const auto read = [&](std::optional<double>* to, std::initializer_list<const char*> names) {
     for (const char* name : names) {
       const auto found = json.find(name);
-      if (found != json.end() && found->is_number()) *to = found->get<double>();
+      if (found != json.end() && found->is_number())
+        *to = found->get<double>();
     }
   };
   // The settings name the fields by the simulator's words, the platform's pages by plainer ones.
@@ -38,7 +40,8 @@
 std::optional<T> Figure(std::string_view text) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (error != std::errc() || end != text.data() + text.size())
+    return std::nullopt;
   return value;
 }
 
@@ -46,11 +49,14 @@
 std::string Header(const HttpRequest& request, const char* wanted) {
   const std::string* found = nullptr;
   for (const auto& [name, value] : request.headers) {
-    if (LowerCase(name) != wanted) continue;
-    if (found != nullptr) throw BadRequest(400, std::string(wanted) + " comes twice");
+    if (LowerCase(name) != wanted)
+      continue;
+    if (found != nullptr)
+      throw BadRequest(400, std::string(wanted) + " comes twice");
     found = &value;
   }
-  if (found == nullptr) return "";
+  if (found == nullptr)
+    return "";
   // Passed on as it came: nothing that an instance could not read.
   const auto visible = [](char c) { return c >= ' ' && c <= '~'; };
   if (found->size() > kMostValue || !std::all_of(found->begin(), found->end(), visible))
@@ -63,7 +69,8 @@
 std::string LowerCase(std::string_view text) {
   std::string lower(text);
   for (char& c : lower) {
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   }
   return lower;
 }
@@ -79,17 +86,23 @@
   job.content_type = Header(request, "content-type");
   job.is_retry = Header(request, "req-retry") == "1";
   job.target = std::move(request.target);
-  if (job.id.empty()) throw BadRequest(400, "Req-Id is missing");
-  if (job.target.empty() || job.target.front() != '/') throw BadRequest(400, "the path must begin with /");
+  if (job.id.empty())
+    throw BadRequest(400, "Req-Id is missing");
+  if (job.target.empty() || job.target.front() != '/')
+    throw BadRequest(400, "the path must begin with /");
   if (!std::all_of(job.target.begin(), job.target.end(), [](char c) { return c > ' ' && c <= '~'; }))
     throw BadRequest(400, "the path is not plain text");
   const std::string path = job.target.substr(0, job.target.find_first_of("?#"));
   const std::string first = path.substr(1, path.find('/', 1) - 1);
-  if (job.klass.empty()) job.klass = first;
+  if (job.klass.empty())
+    job.klass = first;
   const auto klass = keyed.find(job.klass);
-  if (klass == keyed.end()) throw BadRequest(400, "Req-Kind names no class");
-  if (first != job.klass) throw BadRequest(400, "Req-Kind is not the path's first part");
-  if (klass->second && job.idempotency_key.empty()) throw BadRequest(400, "Idempotency-Key is missing");
+  if (klass == keyed.end())
+    throw BadRequest(400, "Req-Kind names no class");
+  if (first != job.klass)
+    throw BadRequest(400, "Req-Kind is not the path's first part");
+  if (klass->second && job.idempotency_key.empty())
+    throw BadRequest(400, "Idempotency-Key is missing");
   job.time_left = DecodeDeadline(Header(request, "req-deadline"));
   job.subject = DecodeSubject(path, job.klass);
   DecodeExtras(Header(request, "req-extra"), &job);
@@ -107,7 +120,8 @@
   using State = ExecutionLine::State;
   const Json json = ParseObject(text);
   // An answer to something else must never be passed on as the answer to this.
-  if (TextOf(json, "id") != request_id) throw BadMessage("id is not the request's");
+  if (TextOf(json, "id") != request_id)
+    throw BadMessage("id is not the request's");
   ExecutionLine line;
   const std::string state = TextOf(json, "state");
   if (state == "started") {
@@ -127,12 +141,14 @@
   } else {
     throw BadMessage("state '" + state + "' is unknown");
   }
-  if (const auto load = json.find("load"); load != json.end()) line.load = LoadOf(*load);
+  if (const auto load = json.find("load"); load != json.end())
+    line.load = LoadOf(*load);
   return line;
 }
 
 Micros DecodeDeadline(std::string_view text) {
-  if (text.size() < 2) throw BadMessage("deadline must be a number and a unit");
+  if (text.size() < 2)
+    throw BadMessage("deadline must be a number and a unit");
   const char unit = text.back();
   const auto figure = Figure<std::int64_t>(text.substr(0, text.size() - 1));
   if (!figure || *figure < 0 || *figure > 1'000'000'000'000 || (unit != 'm' && unit != 'u'))
@@ -148,11 +164,14 @@
     const std::string_view pair = text.substr(0, comma);
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const std::size_t equals = pair.find('=');
-    if (equals == std::string_view::npos) throw BadMessage("extras must be name=value");
+    if (equals == std::string_view::npos)
+      throw BadMessage("extras must be name=value");
     const std::string_view name = pair.substr(0, equals);
-    if (name != "slots" && name != "needs") continue;
+    if (name != "slots" && name != "needs")
+      continue;
     const auto slots = Figure<double>(pair.substr(equals + 1));
-    if (!slots || !(*slots >= 0.0 && *slots <= 1e6)) throw BadMessage("slots must be a number");
+    if (!slots || !(*slots >= 0.0 && *slots <= 1e6))
+      throw BadMessage("slots must be a number");
     job->slots = std::max(1, static_cast<int>(std::ceil(*slots)));
   }
 }
@@ -161,13 +180,16 @@
   path = path.substr(0, path.find('?'));
   const std::size_t slash = path.rfind('/');
   const std::string_view last = slash == std::string_view::npos ? path : path.substr(slash + 1);
-  if (last.empty() || last == klass) return std::nullopt;
+  if (last.empty() || last == klass)
+    return std::nullopt;
   constexpr std::uint64_t kBelow = (1ULL << 53) - 1;
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(last.data(), last.data() + last.size(), number, 16);
-  if (error == std::errc() && end == last.data() + last.size()) return number & kBelow;
+  if (error == std::errc() && end == last.data() + last.size())
+    return number & kBelow;
   number = 0xcbf29ce484222325ULL;
-  for (const char c : last) number = (number ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+  for (const char c : last)
+    number = (number ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return number & kBelow;
 }
 
--- a/src/http/connect_probe.h
+++ b/src/http/connect_probe.h
@@ -30,9 +30,12 @@
   void Start() {
     Close();
     fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd_ < 0) return DoneSoon(errno);
-    if (connect(fd_, reinterpret_cast<const sockaddr*>(&to_), sizeof(to_)) == 0) return DoneSoon(0);
-    if (errno != EINPROGRESS) return DoneSoon(errno);
+    if (fd_ < 0)
+      return DoneSoon(errno);
+    if (connect(fd_, reinterpret_cast<const sockaddr*>(&to_), sizeof(to_)) == 0)
+      return DoneSoon(0);
+    if (errno != EINPROGRESS)
+      return DoneSoon(errno);
     const timeval patience = ToTimeval(kPatience);
     writable_.reset(event_new(base_, fd_, EV_WRITE, &ConnectProbe::OnWritable, this));
     event_add(writable_.get(), &patience);
@@ -41,7 +44,8 @@
   void Close() {
     known_at_once_.Clear();
     writable_.reset();
-    if (fd_ >= 0) evutil_closesocket(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      evutil_closesocket(std::exchange(fd_, -1));
   }
 
  private:
@@ -50,7 +54,8 @@
   static void OnWritable(evutil_socket_t fd, short what, void* self) {
     int error = ETIMEDOUT;
     socklen_t size = sizeof(error);
-    if ((what & EV_WRITE) != 0 && getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
+    if ((what & EV_WRITE) != 0 && getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0)
+      error = errno;
     static_cast<ConnectProbe*>(self)->Done(error);
   }
   void DoneSoon(int error) {
--- a/src/http/discovery.cpp
+++ b/src/http/discovery.cpp
@@ -27,11 +27,15 @@
       clock_(std::move(clock)),
       probe_(base, endpoint, [this](bool refused) { Probed(refused); }),
       version_(known_version) {
-  if (left != nullptr) clock_.Succeed(left->clock_);
+  if (left != nullptr)
+    clock_.Succeed(left->clock_);
   // One that has told nothing yet leaves the word to the one before it.
-  if (left != nullptr) before_ = left->continuing_ ? std::move(left) : std::move(left->before_);
-  if (before_ != nullptr) before_->Leave(this);
-  for (Line& line : lines_) line.owner = this;
+  if (left != nullptr)
+    before_ = left->continuing_ ? std::move(left) : std::move(left->before_);
+  if (before_ != nullptr)
+    before_->Leave(this);
+  for (Line& line : lines_)
+    line.owner = this;
   // Not from within evhttp's callback, which is not done with the connection yet.
   next_ = std::make_unique<Timer>(base_, [this] { Call(); });
   next_probe_ = std::make_unique<Timer>(base_, [this] { probe_.Start(); });
@@ -39,7 +43,8 @@
 }
 Discovery::~Discovery() {
   // Freeing the connection must not tell of the end of a call that nobody waits for any more.
-  for (Line& line : lines_) Cancel(&line);
+  for (Line& line : lines_)
+    Cancel(&line);
 }
 
 void Discovery::Leave(Discovery* after) {
@@ -50,7 +55,8 @@
 }
 
 void Discovery::Watch() {
-  if (!std::exchange(watching_, true)) Schedule();
+  if (!std::exchange(watching_, true))
+    Schedule();
 }
 
 void Discovery::Schedule() {
@@ -66,7 +72,8 @@
   } else if (!probe_.under_way()) {
     next_probe_->Set(std::max<Micros>(0, clock_.next_probe() - now));
   }
-  if (!left_) sink_->Tell(NameTableGood{clock_.good_until() - now});
+  if (!left_)
+    sink_->Tell(NameTableGood{clock_.good_until() - now});
 }
 
 void Discovery::Probed(bool refused) {
@@ -86,14 +93,16 @@
 }
 
 void Discovery::Cancel(Line* line) {
-  if (line->out != nullptr) evhttp_cancel_request(std::exchange(line->out, nullptr));
+  if (line->out != nullptr)
+    evhttp_cancel_request(std::exchange(line->out, nullptr));
 }
 
 void Discovery::Call() {
   const Micros now = SteadyNow();
   Line* line = last_;
   for (Line& other : lines_) {
-    if (line->out != nullptr && (other.out == nullptr || other.called_at < line->called_at)) line = &other;
+    if (line->out != nullptr && (other.out == nullptr || other.called_at < line->called_at))
+      line = &other;
   }
   const auto out =
       std::count_if(lines_.begin(), lines_.end(), [](const Line& l) { return l.out != nullptr; });
@@ -114,7 +123,8 @@
   if (line->connection == nullptr) {
     line->connection.reset(
         evhttp_connection_base_new(base_, nullptr, endpoint_.host.c_str(), endpoint_.port));
-    if (line->connection == nullptr) return Fail(line, "no connection");
+    if (line->connection == nullptr)
+      return Fail(line, "no connection");
     evhttp_connection_set_max_body_size(line->connection.get(), kMostBody);
     evhttp_connection_set_retries(line->connection.get(), 0);
     evhttp_connection_set_timeout(line->connection.get(), 70);  // ours is the shorter one
@@ -135,7 +145,8 @@
 
 void Discovery::OnDone(evhttp_request* request, void* arg) {
   auto* line = static_cast<Line*>(arg);
-  if (line->out == nullptr) return;  // cancelled
+  if (line->out == nullptr)
+    return;  // cancelled
   line->out = nullptr;
   line->owner->Answered(line, request);
 }
@@ -156,7 +167,8 @@
     return Fail(line, e.what(), true);
   }
   // Changes to a list that we do not have.
-  if (!message.full && !version_) return Fail(line, "changes came before the whole list", true);
+  if (!message.full && !version_)
+    return Fail(line, "changes came before the whole list", true);
   Log(LogLevel::kDebug, "discovery_answered",
       {{"wait_ms", line->called_wait / kMillisecond},
        {"took_ms", (SteadyNow() - line->called_at) / kMillisecond},
@@ -166,11 +178,13 @@
   before_.reset();  // whose versions are others: nothing of it may come after this list
   version_ = message.version;
   continuing_ = true;
-  for (Line& other : lines_) Cancel(&other);
+  for (Line& other : lines_)
+    Cancel(&other);
   last_ = line;
   const evutil_socket_t fd = bufferevent_getfd(evhttp_connection_get_bufferevent(line->connection.get()));
   const int on = 1;
-  if (fd >= 0) setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+  if (fd >= 0)
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   using Form = NameTableNews::Form;
   const Form form = message.full ? (left_ ? Form::kRemembered : Form::kWhole)
                                  : (left_ ? Form::kLeftChanges : Form::kChanges);
@@ -178,7 +192,8 @@
   clock_.Answered(SteadyNow(), line->called_at);
   refused_ = false;
   Schedule();
-  if (!left_) return;
+  if (!left_)
+    return;
   after_->clock_.LeftAnswered(clock_);
   after_->Schedule();
 }
@@ -191,9 +206,11 @@
   const bool others_out = AnyOut();
   clock_.Failed(SteadyNow(), line->called_at, answered, others_out);
   Schedule();
-  if (others_out) return;
+  if (others_out)
+    return;
   continuing_ = false;
-  if (!left_) return sink_->Tell(NameTableFailed{});
+  if (!left_)
+    return sink_->Tell(NameTableFailed{});
   after_->clock_.LeftFailed();
   after_->Schedule();
 }
--- a/src/http/discovery_clock.h
+++ b/src/http/discovery_clock.h
@@ -39,19 +39,22 @@
   void BeginRemembered(Micros now, Micros complete_at) {
     Begin(now, pushed() ? rules_.drain_grace : rules_.must_ask_in);
     complete_at_ = std::min(now, complete_at);
-    if (!pushed()) bound_until_ = complete_at_ + kToldWithin;
+    if (!pushed())
+      bound_until_ = complete_at_ + kToldWithin;
   }
   // After Begin, at a new address: the list is as good as `left`, the clock of the old one, has it, until the
   // old watch is heard again: it may be silent. A call given up by the move is one given up.
   void Succeed(const DiscoveryClock& left) {
     complete_at_ = left.complete_at_;
     failed_ = left.failed_ || (left.out_ && left.called_wait_ == 0 && !left.pushed());
-    if (!pushed()) bound_until_ = left.good_until();
+    if (!pushed())
+      bound_until_ = left.good_until();
   }
   // The watch at the old address has answered: it was on when we were moved.
   void LeftAnswered(const DiscoveryClock& left) {
     complete_at_ = std::max(complete_at_, std::min(begun_at_, left.complete_at_));
-    if (left.complete_at_ >= begun_at_) bound_until_ = kNever;
+    if (left.complete_at_ >= begun_at_)
+      bound_until_ = kNever;
   }
   // It has ended without.
   void LeftFailed() { failed_ = true; }
@@ -62,7 +65,8 @@
   Micros next_wait() const { return continues_ ? (pushed() ? pushed_wait() : kWait) : 0; }
 
   void Called(Micros now) {
-    if (out_) Overdue();
+    if (out_)
+      Overdue();
     called_wait_ = next_wait();
     called_at_ = now;
     called_ = out_ = true;
@@ -88,15 +92,18 @@
   void Failed(Micros now, Micros called_at, bool answered, bool others_out) {
     failed_ = true;
     out_ = others_out;
-    if (others_out && called_at != called_at_) return;
+    if (others_out && called_at != called_at_)
+      return;
     next_call_ = now + BeforeRepeat();
-    if (pushed()) return;
+    if (pushed())
+      return;
     if (answered) {
       unreached_from_ = kLongAgo;
       return;
     }
     // What came on a watch before it broke has been told, if it is discovery that has gone.
-    if (called_wait_ > 0 && heard_ && !silent_) unreached_from_ = now;
+    if (called_wait_ > 0 && heard_ && !silent_)
+      unreached_from_ = now;
     next_probe_ = now;
   }
 
@@ -108,7 +115,8 @@
   // again: a drain of just then would be heeded late. So only refusals that follow one another, and the last
   // known moment, within the time that a drain may take to be heeded count.
   void Refused(Micros now) {
-    if (now - unreached_from_ <= rules_.drain_grace) complete_at_ = unreached_from_ = now;
+    if (now - unreached_from_ <= rules_.drain_grace)
+      complete_at_ = unreached_from_ = now;
     called_at_ = now;
     called_wait_ = 0;
     called_ = failed_ = true;
@@ -119,7 +127,8 @@
   void MayBeReached(Micros now) {
     unreached_from_ = kLongAgo;
     next_probe_ = kNever;
-    if (next_call_ != kNever) return;
+    if (next_call_ != kNever)
+      return;
     // It is back for all.
     pacing_.Succeeded();
     next_call_ = now + pacing_.BeforeFirst();
@@ -168,12 +177,14 @@
     return answered_ ? std::max(hold_until_, next_call_ + rules_.drain_grace) : hold_until_;
   }
   Micros AskedUntil() const {
-    if (!called_) return hold_until_;
+    if (!called_)
+      return hold_until_;
     return called_at_ + (out_ && called_wait_ > 0 ? kToldWithin : rules_.must_ask_in);
   }
 
   Micros BeforeRepeat() {
-    if (pushed()) return pacing_.Within(pushed_patience());
+    if (pushed())
+      return pacing_.Within(pushed_patience());
     // A watch that ended with an error ended for all dispatchers: discovery is down, and all will call. One
     // that fell silent did so here alone and was opened anew at once; if that was refused, many call.
     return called_wait_ > 0 && !silent_ ? pacing_.BeforeFirst() : pacing_.AfterFailure();
--- a/src/http/instance_link.cpp
+++ b/src/http/instance_link.cpp
@@ -24,7 +24,8 @@
 std::string HeaderLine(const char* name, const std::string& value) {
   std::string line = std::string(name) + ": ";
   for (const char c : value) {
-    if (c != '\r' && c != '\n') line.push_back(c);
+    if (c != '\r' && c != '\n')
+      line.push_back(c);
   }
   return line + "\r\n";
 }
@@ -33,9 +34,12 @@
   std::string text = job.method + " " + job.target + " HTTP/1.1\r\n" + HeaderLine("Host", address) +
                      HeaderLine("Req-Id", job.id) + HeaderLine("Req-Kind", job.klass) +
                      HeaderLine("Req-Deadline", EncodeDeadline(time_left)) + "Connection: close\r\n";
-  if (!job.tenant.empty()) text += HeaderLine("Req-Owner", job.tenant);
-  if (!job.idempotency_key.empty()) text += HeaderLine("Idempotency-Key", job.idempotency_key);
-  if (!job.content_type.empty()) text += HeaderLine("Content-Type", job.content_type);
+  if (!job.tenant.empty())
+    text += HeaderLine("Req-Owner", job.tenant);
+  if (!job.idempotency_key.empty())
+    text += HeaderLine("Idempotency-Key", job.idempotency_key);
+  if (!job.content_type.empty())
+    text += HeaderLine("Content-Type", job.content_type);
   return text + "Content-Length: " + std::to_string(job.body.size()) + "\r\n\r\n" + job.body;
 }
 
@@ -96,7 +100,8 @@
     probe_timer_.Set(link_->dial_timeout_ * 4);  // a probe that takes longer tells nothing
   }
   std::optional<RunningExecution> Running() const {
-    if (!handed_over_ || settled_ || whole_ || received_.size() > kMostKept) return std::nullopt;
+    if (!handed_over_ || settled_ || whole_ || received_.size() > kMostKept)
+      return std::nullopt;
     return RunningExecution{bufferevent_getfd(stream_.get()), address, received_};
   }
   // The instance has the request already, and has answered with this much.
@@ -124,7 +129,8 @@
 
   static void OnTaken(evbuffer* output, const evbuffer_cb_info* info, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if (info->n_deleted == 0 || c->handed_over_ || !c->execution_ || evbuffer_get_length(output) > 0) return;
+    if (info->n_deleted == 0 || c->handed_over_ || !c->execution_ || evbuffer_get_length(output) > 0)
+      return;
     c->handed_over_ = true;
     c->link_->sink_->Tell(ExecutionHandedOver{*c->execution_});
   }
@@ -134,12 +140,15 @@
     evbuffer* input = bufferevent_get_input(stream);
     const std::size_t size = evbuffer_get_length(input);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    if (c->execution_ && c->received_.size() <= kMostKept) c->received_.append(bytes, size);
+    if (c->execution_ && c->received_.size() <= kMostKept)
+      c->received_.append(bytes, size);
     c->Parse(bytes, size);
     evbuffer_drain(input, size);
     // The answer first: what follows its last line in the same read is no part of it, however it is framed.
-    if (c->whole_ || c->settled_) return c->Settle();
-    if (HTTP_PARSER_ERRNO(&c->parser_) != HPE_OK) return c->Break(Outcome::kError);
+    if (c->whole_ || c->settled_)
+      return c->Settle();
+    if (HTTP_PARSER_ERRNO(&c->parser_) != HPE_OK)
+      return c->Break(Outcome::kError);
     c->TellProgress();
   }
 
@@ -147,12 +156,15 @@
     auto* c = static_cast<Connection*>(arg);
     if ((what & BEV_EVENT_CONNECTED) != 0 && c->execution_)
       return c->link_->sink_->Tell(ExecutionConnected{*c->execution_});
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0)
+      return;
     if ((what & BEV_EVENT_EOF) != 0) {
       c->Parse(nullptr, 0);  // ends an answer framed by the connection's end
-      if (c->whole_ && (c->execution_ || c->probed_)) return c->Settle();
+      if (c->whole_ && (c->execution_ || c->probed_))
+        return c->Settle();
     }
-    if (c->HasLastLine()) return c->Settle();
+    if (c->HasLastLine())
+      return c->Settle();
     // Broken before the request's last byte was written: it cannot have run.
     c->Break(c->handed_over_ ? Outcome::kLost : Outcome::kConnectFailed);
   }
@@ -165,7 +177,8 @@
 
   void TellProgress() {
     InstanceLink* link = link_;
-    for (const ExecutionProgress& note : std::exchange(notes_, {})) link->sink_->Tell(note);
+    for (const ExecutionProgress& note : std::exchange(notes_, {}))
+      link->sink_->Tell(note);
   }
 
   static http_parser_settings Callbacks() {
@@ -173,7 +186,8 @@
     http_parser_settings_init(&s);
     s.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
       Connection& c = Of(p);
-      if (!c.value_.empty()) c.KeepHeader();
+      if (!c.value_.empty())
+        c.KeepHeader();
       c.field_.append(at, size);
       return (c.header_bytes_ += size) > kMostHeaders ? 1 : 0;
     };
@@ -197,23 +211,29 @@
   void KeepHeader() {
     TrimTrailingSpace(&value_);
     const auto is = [this](const char* name) { return evutil_ascii_strcasecmp(field_.c_str(), name) == 0; };
-    if (is("Srv-Load")) load_ = DecodeLoad(value_);
-    if (is("Srv-Declined")) declined_ = value_ == "1";
+    if (is("Srv-Load"))
+      load_ = DecodeLoad(value_);
+    if (is("Srv-Declined"))
+      declined_ = value_ == "1";
     field_.clear();
     value_.clear();
   }
 
   int OnBody(const char* at, std::size_t size) {
-    if (settled_) return 0;
+    if (settled_)
+      return 0;
     std::size_t look = line_.size();  // what came before has no line's end: not to be searched with each byte
     line_.append(at, size);
-    if (line_.size() > kMostLine * 2) return 1;
-    if (probed_ || parser_.status_code != 200) return 0;
+    if (line_.size() > kMostLine * 2)
+      return 1;
+    if (probed_ || parser_.status_code != 200)
+      return 0;
     std::size_t begin = 0;
     for (std::size_t end; !settled_ && (end = line_.find('\n', look)) != std::string::npos;
          begin = look = end + 1) {
       const std::string_view text(line_.data() + begin, end - begin);
-      if (text.find_first_not_of(" \t\r") == std::string_view::npos) continue;
+      if (text.find_first_not_of(" \t\r") == std::string_view::npos)
+        continue;
       try {
         OnLine(DecodeExecutionLine(text, job_->id));
       } catch (const BadMessage& e) {
@@ -228,7 +248,8 @@
   void OnLine(ExecutionLine line) {
     using State = ExecutionLine::State;
     if (line.state == State::kStarted || line.state == State::kRunning) {
-      if (execution_) notes_.push_back({*execution_, line.state == State::kStarted, line.share});
+      if (execution_)
+        notes_.push_back({*execution_, line.state == State::kStarted, line.share});
       return;
     }
     const Outcome outcome = line.state == State::kDone       ? Outcome::kServed
@@ -242,7 +263,8 @@
   // Once no more comes: whether the last line has come, maybe without its line's end. No part of an object is
   // one itself, so what can be read is whole; what cannot was cut.
   bool HasLastLine() {
-    if (settled_ || !execution_ || parser_.status_code != 200) return settled_;
+    if (settled_ || !execution_ || parser_.status_code != 200)
+      return settled_;
     try {
       OnLine(DecodeExecutionLine(line_, job_->id));
     } catch (const BadMessage&) {
@@ -262,18 +284,23 @@
       const bool never = declined_ && (parser_.status_code == 503 || parser_.status_code == 504);
       ended.outcome = never ? Outcome::kFull : Outcome::kError;
     }
-    if (probed_ && parser_.status_code == 200) load_ = DecodeLoad(line_);
-    if (!HasFigures(ended.report)) ended.report = load_;
+    if (probed_ && parser_.status_code == 200)
+      load_ = DecodeLoad(line_);
+    if (!HasFigures(ended.report))
+      ended.report = load_;
     const auto execution = std::exchange(execution_, std::nullopt);
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
     const Micros elapsed = SteadyNow() - started_;
     InstanceLink* link = link_;
     notes_.clear();
-    if (execution) link->busy_.erase(*execution);
+    if (execution)
+      link->busy_.erase(*execution);
     link->Remove(this);  // and with it all of this object
-    if (probed) done(ProbeAnswered{*probed, ended.outcome, elapsed, ended.report});
-    if (!execution) return;
+    if (probed)
+      done(ProbeAnswered{*probed, ended.outcome, elapsed, ended.report});
+    if (!execution)
+      return;
     ended.execution = *execution;
     link->sink_->Tell(std::move(ended));
   }
@@ -288,10 +315,13 @@
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
     InstanceLink* link = link_;
-    if (execution) link->busy_.erase(*execution);
+    if (execution)
+      link->busy_.erase(*execution);
     link->Remove(this);
-    if (probed) done(ProbeAnswered{*probed, outcome, 0, {}});
-    if (!execution) return;
+    if (probed)
+      done(ProbeAnswered{*probed, outcome, 0, {}});
+    if (!execution)
+      return;
     ended.execution = *execution;
     link->sink_->Tell(std::move(ended));
   }
@@ -331,13 +361,15 @@
 
 std::optional<RunningExecution> InstanceLink::Borrow(ExecutionNo execution) const {
   const auto found = busy_.find(execution);
-  if (found == busy_.end()) return std::nullopt;
+  if (found == busy_.end())
+    return std::nullopt;
   return found->second->Running();
 }
 
 void InstanceLink::Forget(ExecutionNo execution) {
   const auto found = busy_.find(execution);
-  if (found == busy_.end()) return;
+  if (found == busy_.end())
+    return;
   Connection* connection = found->second;
   busy_.erase(found);
   connection->Abandon();
@@ -368,10 +400,12 @@
   }
   EventPtr<bufferevent> stream(
       bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (stream == nullptr) return nullptr;
+  if (stream == nullptr)
+    return nullptr;
   auto connection = std::make_unique<Connection>(this, address, std::move(stream));
   Connection* raw = connection.get();
-  if (!raw->Connect(ToSockaddr(*to))) return nullptr;
+  if (!raw->Connect(ToSockaddr(*to)))
+    return nullptr;
   connections_.emplace(raw, std::move(connection));
   return raw;
 }
@@ -388,12 +422,14 @@
 
 void InstanceLink::HandOver(const HandOverExecution& hand_over) {
   const auto found = busy_.find(hand_over.execution);
-  if (found != busy_.end()) found->second->HandOver(hand_over.time_left);
+  if (found != busy_.end())
+    found->second->HandOver(hand_over.time_left);
 }
 
 void InstanceLink::Stop(ExecutionNo execution) {
   const auto found = busy_.find(execution);
-  if (found == busy_.end()) return;
+  if (found == busy_.end())
+    return;
   Connection* connection = found->second;
   busy_.erase(found);
   connection->Abandon();
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -26,8 +26,10 @@
 
 std::size_t RequestReader::Read(std::string_view bytes) {
   std::size_t read = 0;
-  if (!head_done_) read = ReadHead(bytes);
-  if (!head_done_ || whole_ || read == bytes.size()) return read;
+  if (!head_done_)
+    read = ReadHead(bytes);
+  if (!head_done_ || whole_ || read == bytes.size())
+    return read;
   Execute(bytes.substr(read), &read);
   return read;
 }
@@ -39,17 +41,22 @@
     ++read;
     const char before = head_.empty() ? '\0' : head_.back();
     const bool line_begins = head_.empty() || before == '\n';
-    if (before == '\r' && c != '\n') throw BadRequest(400, "a CR without its LF");
-    if (c == '\n' && before != '\r') throw BadRequest(400, "an LF without its CR");
+    if (before == '\r' && c != '\n')
+      throw BadRequest(400, "a CR without its LF");
+    if (c == '\n' && before != '\r')
+      throw BadRequest(400, "an LF without its CR");
     if ((static_cast<unsigned char>(c) < ' ' && c != '\r' && c != '\n' && c != '\t') || c == '\x7f')
       throw BadRequest(400, "a control character");
-    if (line_begins && (c == ' ' || c == '\t')) throw BadRequest(400, "a line that begins with a space");
+    if (line_begins && (c == ' ' || c == '\t'))
+      throw BadRequest(400, "a line that begins with a space");
     // Before the parser sees it, which takes a tab behind a length for a part of that.
-    if (c == '\r' && line_ends_ > 0) TrimTrailingSpace(&head_);
+    if (c == '\r' && line_ends_ > 0)
+      TrimTrailingSpace(&head_);
     head_.push_back(c);
     if (head_ == "\r\n") {  // one empty line before a request is forgiven, as RFC 9112 asks
       head_.clear();
-      if (beyond_body_++ > 0) throw BadRequest(400, "empty lines");
+      if (beyond_body_++ > 0)
+        throw BadRequest(400, "empty lines");
       continue;
     }
     if (c == '\n' && line_ends_++ == 0 && head_.find(" HTTP/1.") == std::string::npos)
@@ -61,7 +68,8 @@
       EndHead();
       return read;
     }
-    if (head_.size() >= kMostHead) throw BadRequest(431, "the head is too large");
+    if (head_.size() >= kMostHead)
+      throw BadRequest(431, "the head is too large");
   }
   return read;
 }
@@ -80,13 +88,18 @@
     }
     if (lower == "transfer-encoding") {
       ++encodings;
-      if (LowerCase(value) != "chunked") throw BadRequest(400, "Transfer-Encoding must be chunked");
+      if (LowerCase(value) != "chunked")
+        throw BadRequest(400, "Transfer-Encoding must be chunked");
     }
-    if (lower == "host") ++hosts;
-    if (lower == "expect") wants_continue_ = LowerCase(value) == "100-continue";
+    if (lower == "host")
+      ++hosts;
+    if (lower == "expect")
+      wants_continue_ = LowerCase(value) == "100-continue";
   }
-  if (lengths + encodings > 1) throw BadRequest(400, "more than one length");
-  if (hosts > 1) throw BadRequest(400, "more than one Host");
+  if (lengths + encodings > 1)
+    throw BadRequest(400, "more than one length");
+  if (hosts > 1)
+    throw BadRequest(400, "more than one Host");
   if (lengths == 1 && parser_.content_length != ULLONG_MAX && parser_.content_length > kMostBody)
     throw BadRequest(413, "the body is too large");
   wants_continue_ = wants_continue_ && !whole_;
@@ -97,12 +110,15 @@
   const std::size_t body = request_.body.size();
   const std::size_t parsed = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
   *read += parsed;
-  if (too_large_) throw BadRequest(413, "the body is too large");
+  if (too_large_)
+    throw BadRequest(413, "the body is too large");
   if (!whole_ && HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
     throw BadRequest(400, http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
   // Chunks may be cut as small as a byte, and trailers go on for ever.
-  if (head_done_) beyond_body_ += parsed - std::min(parsed, request_.body.size() - body);
-  if (beyond_body_ > kMostHead + kMostBody) throw BadRequest(400, "chunks hold too little");
+  if (head_done_)
+    beyond_body_ += parsed - std::min(parsed, request_.body.size() - body);
+  if (beyond_body_ > kMostHead + kMostBody)
+    throw BadRequest(400, "chunks hold too little");
 }
 
 http_parser_settings RequestReader::Callbacks() {
@@ -117,12 +133,14 @@
   // The head is parsed in one piece, so that names and values come whole; those of trailers are let go.
   s.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
     RequestReader& r = kOf(p);
-    if (!r.head_done_) r.request_.headers.emplace_back(std::string(at, size), "");
+    if (!r.head_done_)
+      r.request_.headers.emplace_back(std::string(at, size), "");
     return 0;
   };
   s.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
     RequestReader& r = kOf(p);
-    if (!r.head_done_ && !r.request_.headers.empty()) r.request_.headers.back().second.append(at, size);
+    if (!r.head_done_ && !r.request_.headers.empty())
+      r.request_.headers.back().second.append(at, size);
     return 0;
   };
   s.on_headers_complete = [](http_parser* p) {
--- a/src/http/turned_away.h
+++ b/src/http/turned_away.h
@@ -30,14 +30,16 @@
   void Add(int status, const std::string& why, const std::string& id) {
     Reason& reason = reasons_[{status, why}];
     ++reason.count;
-    if (!id.empty()) reason.example = id;
+    if (!id.empty())
+      reason.example = id;
   }
 
   // The notices that are due at `now`, or all that anything is left to tell of.
   std::vector<Notice> Take(Micros now, bool all) {
     std::vector<Notice> notices;
     for (auto& [key, reason] : reasons_) {
-      if (reason.count == 0 || (!all && reason.told && now < *reason.told + kEvery)) continue;
+      if (reason.count == 0 || (!all && reason.told && now < *reason.told + kEvery))
+        continue;
       notices.push_back({key.first, key.second, std::exchange(reason.example, ""), reason.count});
       reason.count = 0;
       reason.told = now;
@@ -49,7 +51,8 @@
   std::optional<Micros> NextIn(Micros now) const {
     std::optional<Micros> next;
     for (const auto& [key, reason] : reasons_) {
-      if (reason.count == 0) continue;
+      if (reason.count == 0)
+        continue;
       const Micros wait = reason.told ? std::max<Micros>(0, *reason.told + kEvery - now) : 0;
       next = std::min(next.value_or(wait), wait);
     }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -26,7 +26,8 @@
     const Clock::time_point now = Clock::now();
     allowed_ = std::min(burst_, allowed_ + per_second_ * std::chrono::duration<double>(now - last_).count());
     last_ = now;
-    if (allowed_ < 1.0) return false;
+    if (allowed_ < 1.0)
+      return false;
     allowed_ -= 1.0;
     return true;
   }
@@ -61,10 +62,12 @@
 // Bare where it reads as one word, else quoted; control characters never get through, whatever a peer sent.
 std::string Quoted(std::string_view text) {
   const auto plain = [](unsigned char c) { return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\'; };
-  if (!text.empty() && std::all_of(text.begin(), text.end(), plain)) return std::string(text);
+  if (!text.empty() && std::all_of(text.begin(), text.end(), plain))
+    return std::string(text);
   std::string out = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\') out += '\\';
+    if (c == '"' || c == '\\')
+      out += '\\';
     out += static_cast<unsigned char>(c) < ' ' || c == 0x7f ? ' ' : c;
   }
   return out + "\"";
@@ -79,7 +82,8 @@
     } else {
       std::visit(
           [&]<typename T>(const T& value) {
-            if constexpr (!std::is_same_v<T, std::string>) line += fmt::format("{}", value);
+            if constexpr (!std::is_same_v<T, std::string>)
+              line += fmt::format("{}", value);
           },
           field.value);
     }
@@ -125,12 +129,14 @@
 
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
   State& s = TheState();
-  if (!LogsAt(level)) return;
+  if (!LogsAt(level))
+    return;
   if (!s.rate.Allows()) {
     ++s.dropped;
     return;
   }
-  if (s.dropped > 0) Write(&s, LogLevel::kWarning, "log_lines_dropped", {{"lines", s.dropped}});
+  if (s.dropped > 0)
+    Write(&s, LogLevel::kWarning, "log_lines_dropped", {{"lines", s.dropped}});
   s.dropped = 0;
   Write(&s, level, event, fields);
 }
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -106,10 +106,12 @@
 }  // namespace
 
 void Trace(const Event& event) {
-  if (LogsAt(LogLevel::kDebug)) std::visit(EventLines{}, event);
+  if (LogsAt(LogLevel::kDebug))
+    std::visit(EventLines{}, event);
 }
 void Trace(const Effect& effect) {
-  if (LogsAt(LogLevel::kDebug)) std::visit(EffectLines{}, effect);
+  if (LogsAt(LogLevel::kDebug))
+    std::visit(EffectLines{}, effect);
 }
 
 }  // namespace aldersill
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -21,7 +21,8 @@
 template <typename T>
 void PutAll(MessagePacker& out, const std::vector<T>& items) {
   out.pack_array(static_cast<std::uint32_t>(items.size()));
-  for (const T& item : items) Put(out, item);
+  for (const T& item : items)
+    Put(out, item);
 }
 
 void PutFields(MessagePacker& out, const Ping& m) {
@@ -61,11 +62,13 @@
   u.incarnation.epoch = in.Number53();
   u.incarnation.turn = in.Take<std::uint32_t>();
   const auto state = in.Take<std::uint8_t>();
-  if (state > static_cast<std::uint8_t>(State::kLeft)) throw std::runtime_error("not a state");
+  if (state > static_cast<std::uint8_t>(State::kLeft))
+    throw std::runtime_error("not a state");
   u.state = static_cast<State>(state);
   u.weight = in.Take<std::uint32_t>();
   u.accuser = in.Take<std::string>();
-  if (u.accuser.size() > kMostMessageName) throw std::runtime_error("not a name");
+  if (u.accuser.size() > kMostMessageName)
+    throw std::runtime_error("not a name");
   return u;
 }
 
@@ -125,7 +128,8 @@
 std::optional<Packet> Decode(std::string_view bytes) {
   return UnpackMessage<Packet>(bytes, [](const msgpack::object& object) {
     MessageFields in(object);
-    if (in.Take<std::uint32_t>() != kVersion) throw std::runtime_error("another version");
+    if (in.Take<std::uint32_t>() != kVersion)
+      throw std::runtime_error("another version");
     Packet packet;
     packet.from = in.Name();
     packet.epoch = in.Number53();
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -22,12 +22,15 @@
 std::size_t SizeOf(const Rumor& r) { return r.key.size() + r.body.size() + 12; }
 std::size_t SizeOfPacket(const Packet& p) {
   std::size_t size = p.from.size() + 40;
-  if (const auto* ping = std::get_if<Ping>(&p.message)) size += ping->target.size() + 24;
+  if (const auto* ping = std::get_if<Ping>(&p.message))
+    size += ping->target.size() + 24;
   if (const auto* ask = std::get_if<PingFor>(&p.message))
     size += ask->target.size() + ask->address.size() + 32;
-  if (const auto* direct = std::get_if<Direct>(&p.message)) size += direct->body.size() + 8;
+  if (const auto* direct = std::get_if<Direct>(&p.message))
+    size += direct->body.size() + 8;
   if (const auto* table = std::get_if<Table>(&p.message)) {
-    for (const Update& u : table->members) size += SizeOf(u);
+    for (const Update& u : table->members)
+      size += SizeOf(u);
   }
   return size + 16;
 }
@@ -44,11 +47,15 @@
 }
 
 Micros Membership::next_due() const {
-  if (!started_) return kNever;
+  if (!started_)
+    return kNever;
   Micros due = std::min({next_probe_, next_gossip_, next_compare_, next_forget_});
-  if (probe_ && !probe_->answered && !probe_->asked_others) due = std::min(due, probe_->others_at);
-  if (!suspicions_.empty()) due = std::min(due, suspicions_.begin()->first);
-  for (const auto& [number, relay] : relays_) due = std::min(due, relay.nack_at);
+  if (probe_ && !probe_->answered && !probe_->asked_others)
+    due = std::min(due, probe_->others_at);
+  if (!suspicions_.empty())
+    due = std::min(due, suspicions_.begin()->first);
+  for (const auto& [number, relay] : relays_)
+    due = std::min(due, relay.nack_at);
   return due;
 }
 
@@ -58,13 +65,15 @@
 
 std::map<std::string, Update> Membership::View() const {
   std::map<std::string, Update> view;
-  for (const auto& [name, entry] : others_) view.emplace(name, entry.said);
+  for (const auto& [name, entry] : others_)
+    view.emplace(name, entry.said);
   view.emplace(s_.name, self());
   return view;
 }
 
 std::optional<State> Membership::StateOf(const std::string& name) const {
-  if (name == s_.name) return leaving_ ? State::kLeft : State::kAlive;
+  if (name == s_.name)
+    return leaving_ ? State::kLeft : State::kAlive;
   const auto found = others_.find(name);
   return found == others_.end() ? std::nullopt : std::optional(found->second.said.state);
 }
@@ -85,13 +94,17 @@
 
 void Membership::On(PacketCame&& e) {
   const Packet& p = e.packet;
-  if (!started_ || p.from == s_.name) return;  // our own, come back, or a namesake's: either tells nothing
-  for (const Update& update : p.updates) Hear(update);
+  if (!started_ || p.from == s_.name)
+    return;  // our own, come back, or a namesake's: either tells nothing
+  for (const Update& update : p.updates)
+    Hear(update);
   std::visit([&](const auto& m) { On(e.address, p, m); }, p.message);
-  for (const Rumor& rumor : p.rumors) effects_->push_back(RumorHeard{p.from, rumor});
+  for (const Rumor& rumor : p.rumors)
+    effects_->push_back(RumorHeard{p.from, rumor});
   // One that is taken for dead, or that speaks from a life we have not heard of, is told so at once.
   const auto sender = others_.find(p.from);
-  if (sender == others_.end() || now_ - sender->second.since < s_.gossip_interval) return;
+  if (sender == others_.end() || now_ - sender->second.since < s_.gossip_interval)
+    return;
   Entry& entry = sender->second;
   if (entry.said.state == State::kDead && entry.said.incarnation.epoch <= p.epoch) {
     entry.since = now_;  // at most once a gossip interval
@@ -100,11 +113,14 @@
 }
 
 void Membership::On(const TimeCame&) {
-  if (!started_) return;
+  if (!started_)
+    return;
   // What was due long ago means that this instance itself stood still: others are not to suffer for it.
-  if (const Micros late = now_ - next_due(); late > s_.probe_interval) StretchFor(late);
+  if (const Micros late = now_ - next_due(); late > s_.probe_interval)
+    StretchFor(late);
   while (next_due() <= now_) {
-    if (probe_ && !probe_->answered && !probe_->asked_others && probe_->others_at <= now_) AskOthers();
+    if (probe_ && !probe_->answered && !probe_->asked_others && probe_->others_at <= now_)
+      AskOthers();
     while (!suspicions_.empty() && suspicions_.begin()->first <= now_)
       DeclareDead(std::string(suspicions_.begin()->second));
     for (auto at = relays_.begin(); at != relays_.end();) {
@@ -119,45 +135,55 @@
       EndProbe();
       BeginProbe();
     }
-    if (next_gossip_ <= now_) SendGossip();
-    if (next_compare_ <= now_) SendCompare();
-    if (next_forget_ <= now_) ForgetDead();
+    if (next_gossip_ <= now_)
+      SendGossip();
+    if (next_compare_ <= now_)
+      SendCompare();
+    if (next_forget_ <= now_)
+      ForgetDead();
   }
 }
 
 void Membership::On(SpreadAsked&& e) {
   const std::size_t size = SizeOf(e.rumor);
-  if (size + 128 > s_.datagram) return;  // could never go out
+  if (size + 128 > s_.datagram)
+    return;  // could never go out
   const std::string key = e.rumor.key;
   rumors_.Put(key, std::move(e.rumor), size);
 }
 
 void Membership::On(DirectAsked&& e) {
   const auto to = others_.find(e.to);
-  if (!started_ || to == others_.end() || !Lives(to->second.said.state)) return;
+  if (!started_ || to == others_.end() || !Lives(to->second.said.state))
+    return;
   Send(to->second.said.address, Direct{std::move(e.body)});
 }
 
 void Membership::On(const LeaveAsked&) {
-  if (!started_ || std::exchange(leaving_, true)) return;
+  if (!started_ || std::exchange(leaving_, true))
+    return;
   probe_.reset();
   Update gone = self();
   gone.accuser = s_.name;
   PassOn(gone);
-  for (const std::string& name : Some(8, "")) Send(others_.at(name).said.address, Gossip{});
+  for (const std::string& name : Some(8, ""))
+    Send(others_.at(name).said.address, Gossip{});
 }
 
 // ---- Messages ----
 
 void Membership::On(const std::string& address, const Packet&, const Ping& m) {
-  if (m.target != s_.name || leaving_) return;
-  if (m.epoch == incarnation_.epoch) return Send(address, Ack{m.number});
+  if (m.target != s_.name || leaving_)
+    return;
+  if (m.epoch == incarnation_.epoch)
+    return Send(address, Ack{m.number});
   PassOn(self());  // it asks for an earlier life of ours
   Send(address, Gossip{});
 }
 
 void Membership::On(const std::string& address, const Packet&, const PingFor& m) {
-  if (m.target == s_.name || relays_.size() >= kMostRelays) return;
+  if (m.target == s_.name || relays_.size() >= kMostRelays)
+    return;
   const std::uint32_t number = next_number_++;
   relays_[number] = Relay{address, m.number, now_ + s_.probe_timeout * 4 / 5};
   Send(m.address, Ping{number, m.target, m.epoch}, m.target);
@@ -169,27 +195,33 @@
     relays_.erase(relay);
     return;
   }
-  if (!probe_ || probe_->number != m.number || probe_->answered) return;
+  if (!probe_ || probe_->number != m.number || probe_->answered)
+    return;
   // Directly it can come from the target alone, else from whom we asked to try.
-  if (!probe_->asked_others && p.from != probe_->target) return;
+  if (!probe_->asked_others && p.from != probe_->target)
+    return;
   probe_->answered = true;
   Better();
 }
 
 void Membership::On(const std::string&, const Packet&, const Nack& m) {
-  if (probe_ && probe_->number == m.number && probe_->nacks_owed > 0) --probe_->nacks_owed;
+  if (probe_ && probe_->number == m.number && probe_->nacks_owed > 0)
+    --probe_->nacks_owed;
 }
 
 void Membership::On(const std::string& address, const Packet& p, const Compare& m) {
   const auto known = others_.find(p.from);
   const bool met = known != others_.end() && Lives(known->second.said.state);
-  if (met && m.digest == Digest()) return;
+  if (met && m.digest == Digest())
+    return;
   SendTable(address, /*reply=*/true);
 }
 
 void Membership::On(const std::string& address, const Packet&, const Table& m) {
-  for (const Update& update : m.members) Hear(update);
-  if (m.reply) SendTable(address, /*reply=*/false);
+  for (const Update& update : m.members)
+    Hear(update);
+  if (m.reply)
+    SendTable(address, /*reply=*/false);
 }
 
 void Membership::On(const std::string&, const Packet& p, const Direct& m) {
@@ -199,11 +231,13 @@
 // ---- What is said of members ----
 
 void Membership::Hear(const Update& said) {
-  if (said.name == s_.name) return HearOfSelf(said);
+  if (said.name == s_.name)
+    return HearOfSelf(said);
   const auto found = others_.find(said.name);
   if (found == others_.end()) {
     // One that was never known and is gone needs no place.
-    if (!Lives(said.state)) return;
+    if (!Lives(said.state))
+      return;
     if (others_.size() + 1 >= s_.most_members && !ForgetOneDead()) {
       ++counters_.members_refused;
       return;
@@ -216,7 +250,8 @@
     order_.insert(order_.begin() + random_(static_cast<std::uint32_t>(order_.size() + 1)), said.name);
     effects_->push_back(MemberNews{MemberNews::What::kJoined, entry.said});
     PassOn(entry.said);
-    if (said.state == State::kSuspect) Accuse(&entry, said);
+    if (said.state == State::kSuspect)
+      Accuse(&entry, said);
     return;
   }
   Entry& entry = found->second;
@@ -225,8 +260,10 @@
   const bool other_life = said.incarnation.epoch > known.incarnation.epoch;
   switch (said.state) {
     case State::kAlive:
-      if (!newer) return;
-      if (known.state == State::kDead && !other_life) ++counters_.deaths_refuted;
+      if (!newer)
+        return;
+      if (known.state == State::kDead && !other_life)
+        ++counters_.deaths_refuted;
       return Become(&entry, said, other_life ? MemberNews::What::kRestarted : MemberNews::What::kAlive);
     case State::kSuspect:
       if (newer) {
@@ -235,19 +272,23 @@
         alive.accuser.clear();
         Become(&entry, alive, other_life ? MemberNews::What::kRestarted : MemberNews::What::kAlive);
       }
-      if (said.incarnation == known.incarnation && Lives(known.state)) Accuse(&entry, said);
+      if (said.incarnation == known.incarnation && Lives(known.state))
+        Accuse(&entry, said);
       return;
     case State::kDead:
     case State::kLeft:
-      if (said.incarnation < known.incarnation || (!newer && !Lives(known.state))) return;
+      if (said.incarnation < known.incarnation || (!newer && !Lives(known.state)))
+        return;
       return Become(&entry, said,
                     said.state == State::kDead ? MemberNews::What::kDead : MemberNews::What::kLeft);
   }
 }
 
 void Membership::HearOfSelf(const Update& said) {
-  if (leaving_) return;
-  if (said.address != s_.address && said.incarnation >= incarnation_) ++counters_.name_conflicts;
+  if (leaving_)
+    return;
+  if (said.address != s_.address && said.incarnation >= incarnation_)
+    ++counters_.name_conflicts;
   if (said.incarnation.epoch > incarnation_.epoch) {
     // An earlier life whose clock was ahead (or a namesake): this one must still go before it.
     incarnation_ = {said.incarnation.epoch + 1, 0};
@@ -290,7 +331,8 @@
     PassOn(confirmed);
   }
   entry->accusers.insert(said.accuser);
-  if (entry->dead_at != 0) suspicions_.erase({entry->dead_at, name});
+  if (entry->dead_at != 0)
+    suspicions_.erase({entry->dead_at, name});
   entry->dead_at = std::max(now_, SuspicionEnds(*entry));
   suspicions_.insert({entry->dead_at, name});
 }
@@ -303,7 +345,8 @@
                                         static_cast<Micros>(3.0 * rounds) * s_.gossip_interval);
   // Who has nobody to confirm it cannot wait for that.
   const int wanted = static_cast<int>(living_) - 2 < s_.confirmations ? 0 : s_.confirmations;
-  if (wanted == 0) return entry.suspected + least;
+  if (wanted == 0)
+    return entry.suspected + least;
   const double others = static_cast<double>(entry.accusers.size()) - 1.0;
   const double most = static_cast<double>(least) * s_.suspicion_most;
   const double share = std::log(others + 1.0) / std::log(wanted + 1.0);
@@ -312,10 +355,13 @@
 }
 
 void Membership::Become(Entry* entry, const Update& said, MemberNews::What what) {
-  if (entry->dead_at != 0) suspicions_.erase({entry->dead_at, entry->said.name});
+  if (entry->dead_at != 0)
+    suspicions_.erase({entry->dead_at, entry->said.name});
   entry->dead_at = 0;
-  if (Lives(entry->said.state)) --living_;
-  if (Lives(said.state)) ++living_;
+  if (Lives(entry->said.state))
+    --living_;
+  if (Lives(said.state))
+    ++living_;
   entry->said = said;
   entry->since = now_;
   effects_->push_back(MemberNews{what, said});
@@ -337,9 +383,11 @@
 void Membership::BeginProbe() {
   const Micros period = Stretched(s_.probe_interval);
   next_probe_ = now_ + period;
-  if (leaving_) return;
+  if (leaving_)
+    return;
   const std::optional<std::string> target = NextTarget();
-  if (!target) return;
+  if (!target)
+    return;
   const Update& said = others_.at(*target).said;
   ++counters_.probes;
   probe_ = Probe{*target, next_number_++, 0, false, false, now_ + Stretched(s_.probe_timeout), next_probe_};
@@ -349,7 +397,8 @@
 void Membership::AskOthers() {
   probe_->asked_others = true;
   const auto target = others_.find(probe_->target);
-  if (target == others_.end()) return;
+  if (target == others_.end())
+    return;
   const Update said = target->second.said;
   for (const std::string& name : Some(static_cast<std::size_t>(s_.indirect_probes), probe_->target)) {
     ++probe_->nacks_owed;
@@ -357,17 +406,20 @@
     Send(others_.at(name).said.address,
          PingFor{probe_->number, said.name, said.address, said.incarnation.epoch});
   }
-  if (probe_->nacks_owed == 0) probe_->nacks_owed = 1;  // nobody to ask: it may as well be us
+  if (probe_->nacks_owed == 0)
+    probe_->nacks_owed = 1;  // nobody to ask: it may as well be us
 }
 
 void Membership::EndProbe() {
   const std::optional<Probe> probe = std::exchange(probe_, std::nullopt);
-  if (!probe || probe->answered) return;
+  if (!probe || probe->answered)
+    return;
   ++counters_.probes_failed;
   // Those asked to try and silent as well: then it is likelier us.
   Worse(probe->nacks_owed);
   const auto target = others_.find(probe->target);
-  if (target == others_.end() || !Lives(target->second.said.state)) return;
+  if (target == others_.end() || !Lives(target->second.said.state))
+    return;
   Update accused = target->second.said;
   accused.state = State::kSuspect;
   accused.accuser = s_.name;
@@ -379,13 +431,16 @@
     if (next_in_order_ >= order_.size()) {
       next_in_order_ = 0;
       order_.clear();
-      for (const auto& [name, entry] : others_) order_.push_back(name);
+      for (const auto& [name, entry] : others_)
+        order_.push_back(name);
       pcg_extras::shuffle(order_.begin(), order_.end(), random_);
-      if (order_.empty()) return std::nullopt;
+      if (order_.empty())
+        return std::nullopt;
     }
     const std::string& name = order_[next_in_order_++];
     const auto found = others_.find(name);
-    if (found != others_.end() && Lives(found->second.said.state)) return name;
+    if (found != others_.end() && Lives(found->second.said.state))
+      return name;
   }
   return std::nullopt;
 }
@@ -394,13 +449,16 @@
 
 void Membership::SendGossip() {
   next_gossip_ = now_ + s_.gossip_interval;
-  if (updates_.size() == 0 && rumors_.size() == 0) return;
+  if (updates_.size() == 0 && rumors_.size() == 0)
+    return;
   for (const std::string& name : Some(static_cast<std::size_t>(s_.gossip_fanout), "", true)) {
-    if (updates_.size() == 0 && rumors_.size() == 0) return;
+    if (updates_.size() == 0 && rumors_.size() == 0)
+      return;
     Send(others_.at(name).said.address, Gossip{}, name);
   }
   for (int more = 0; more < s_.gossip_burst && rumors_.size() > 0; ++more) {
-    for (const std::string& name : Some(1, "")) Send(others_.at(name).said.address, Gossip{}, name);
+    for (const std::string& name : Some(1, ""))
+      Send(others_.at(name).said.address, Gossip{}, name);
   }
 }
 
@@ -409,25 +467,34 @@
   // Spread by a quarter, so that instances started together do not compare together for ever.
   const Micros interval = alone ? s_.probe_interval : s_.compare_interval;
   next_compare_ = now_ + interval - interval / 8 + random_(static_cast<std::uint32_t>(interval / 4 + 1));
-  if (leaving_) return;
+  if (leaving_)
+    return;
   const std::uint64_t digest = Digest();
-  for (const std::string& name : Some(1, "")) Send(others_.at(name).said.address, Compare{digest});
+  for (const std::string& name : Some(1, ""))
+    Send(others_.at(name).said.address, Compare{digest});
   // One that was lost: after a split nothing else brings the halves together.
   std::vector<std::string> lost;
   std::set<std::string> met{s_.address};
   for (const auto& [name, entry] : others_) {
-    if (Lives(entry.said.state)) met.insert(entry.said.address);
-    if (entry.said.state == State::kDead) lost.push_back(entry.said.address);
+    if (Lives(entry.said.state))
+      met.insert(entry.said.address);
+    if (entry.said.state == State::kDead)
+      lost.push_back(entry.said.address);
   }
   for (const std::string& address : s_.join) {
-    if (!met.contains(address)) lost.push_back(address);
+    if (!met.contains(address))
+      lost.push_back(address);
   }
-  if (lost.empty()) return;
-  if (!alone) return Send(lost[random_(static_cast<std::uint32_t>(lost.size()))], Compare{digest});
+  if (lost.empty())
+    return;
+  if (!alone)
+    return Send(lost[random_(static_cast<std::uint32_t>(lost.size()))], Compare{digest});
   std::sort(lost.begin(), lost.end());
   lost.erase(std::unique(lost.begin(), lost.end()), lost.end());
-  if (lost.size() > 16) lost.resize(16);
-  for (const std::string& address : lost) Send(address, Compare{digest});
+  if (lost.size() > 16)
+    lost.resize(16);
+  for (const std::string& address : lost)
+    Send(address, Compare{digest});
 }
 
 void Membership::SendTable(const std::string& address, bool reply) {
@@ -436,7 +503,8 @@
   ++counters_.tables_sent;
   for (const auto& [name, entry] : others_) {
     // The left are not worth telling, and the dead are told where they may be news: to one that knows them.
-    if (entry.said.state == State::kLeft) continue;
+    if (entry.said.state == State::kLeft)
+      continue;
     const std::size_t more = SizeOf(entry.said);
     if (size + more + 200 > s_.datagram) {
       Send(address, Table{std::exchange(part, {}), false});
@@ -460,17 +528,20 @@
   if (used < s_.datagram) {
     const std::size_t left = updates_.Take(s_.datagram - used, Times(), &packet.updates);
     // Probes stay short: rumors go with gossip alone.
-    if (std::holds_alternative<Gossip>(packet.message)) rumors_.Take(left, s_.rumor_times, &packet.rumors);
+    if (std::holds_alternative<Gossip>(packet.message))
+      rumors_.Take(left, s_.rumor_times, &packet.rumors);
   }
   effects_->push_back(SendPacket{address, std::move(packet)});
 }
 
 std::vector<std::string> Membership::Some(std::size_t count, const std::string& but, bool recently_dead) {
   std::vector<std::string> some;
-  if (order_.empty()) return some;
+  if (order_.empty())
+    return some;
   const auto fits = [&](const std::string& name) {
     const auto found = others_.find(name);
-    if (found == others_.end() || name == but) return false;
+    if (found == others_.end() || name == but)
+      return false;
     const Entry& entry = found->second;
     const bool told = Lives(entry.said.state) ||
                       (recently_dead && entry.said.state == State::kDead && now_ - entry.since < kLatelyDead);
@@ -480,12 +551,14 @@
   const auto size = static_cast<std::uint32_t>(order_.size());
   for (std::size_t draws = 0; draws < 4 * count && some.size() < count; ++draws) {
     const std::string& name = order_[random_(size)];
-    if (fits(name)) some.push_back(name);
+    if (fits(name))
+      some.push_back(name);
   }
   const std::size_t from = random_(size);
   for (std::size_t i = 0; i < order_.size() && some.size() < count; ++i) {
     const std::string& name = order_[(from + i) % order_.size()];
-    if (fits(name)) some.push_back(name);
+    if (fits(name))
+      some.push_back(name);
   }
   return some;
 }
@@ -496,7 +569,8 @@
   next_forget_ = now_ + kForgetEvery;
   std::erase_if(others_, [this](const auto& named) {
     const Entry& entry = named.second;
-    if (Lives(entry.said.state)) return false;
+    if (Lives(entry.said.state))
+      return false;
     // One that left is remembered just as long as its old words may still go round.
     const Micros kept =
         entry.said.state == State::kLeft ? std::min(s_.dead_kept, 60 * kSecond) : s_.dead_kept;
@@ -507,10 +581,13 @@
 bool Membership::ForgetOneDead() {
   auto oldest = others_.end();
   for (auto at = others_.begin(); at != others_.end(); ++at) {
-    if (Lives(at->second.said.state)) continue;
-    if (oldest == others_.end() || at->second.since < oldest->second.since) oldest = at;
+    if (Lives(at->second.said.state))
+      continue;
+    if (oldest == others_.end() || at->second.since < oldest->second.since)
+      oldest = at;
   }
-  if (oldest == others_.end()) return false;
+  if (oldest == others_.end())
+    return false;
   others_.erase(oldest);
   return true;
 }
@@ -542,7 +619,8 @@
 std::uint64_t Membership::Digest() const {
   std::string text;
   for (const auto& [name, said] : View()) {
-    if (!Lives(said.state)) continue;
+    if (!Lives(said.state))
+      continue;
     text += name + '\n' + std::to_string(said.incarnation.epoch) + '.' +
             std::to_string(said.incarnation.turn) + '\n';
   }
--- a/src/membership/sealer.cpp
+++ b/src/membership/sealer.cpp
@@ -25,11 +25,13 @@
 }
 
 void PutNumber(std::string* to, std::uint64_t number) {
-  for (int shift = 56; shift >= 0; shift -= 8) to->push_back(static_cast<char>(number >> shift & 0xff));
+  for (int shift = 56; shift >= 0; shift -= 8)
+    to->push_back(static_cast<char>(number >> shift & 0xff));
 }
 std::uint64_t NumberAt(std::string_view bytes, std::size_t at) {
   std::uint64_t number = 0;
-  for (std::size_t i = 0; i < 8; ++i) number = number << 8 | static_cast<unsigned char>(bytes[at + i]);
+  for (std::size_t i = 0; i < 8; ++i)
+    number = number << 8 | static_cast<unsigned char>(bytes[at + i]);
   return number;
 }
 const unsigned char* Bytes(std::string_view text) {
@@ -45,7 +47,8 @@
 }
 
 Sealer::Sealer(std::vector<Key> keys, std::uint64_t session) : keys_(std::move(keys)), session_(session) {
-  if (sodium_init() < 0) throw std::runtime_error("membership: libsodium cannot begin");
+  if (sodium_init() < 0)
+    throw std::runtime_error("membership: libsodium cannot begin");
 }
 
 void Sealer::Adopt(std::vector<Key> keys) { keys_ = std::move(keys); }
@@ -64,29 +67,37 @@
 }
 
 std::optional<std::string> Sealer::Open(Micros unix_now, std::string_view datagram) {
-  if (datagram.size() <= kHeader + kTag) return Drop(Dropped::kTruncated);
-  if (datagram.size() > kMostDatagram) return Drop(Dropped::kTooLong);
-  if (static_cast<unsigned char>(datagram[0]) != kFormat) return Drop(Dropped::kFormat);
+  if (datagram.size() <= kHeader + kTag)
+    return Drop(Dropped::kTruncated);
+  if (datagram.size() > kMostDatagram)
+    return Drop(Dropped::kTooLong);
+  if (static_cast<unsigned char>(datagram[0]) != kFormat)
+    return Drop(Dropped::kFormat);
   std::string packet(datagram.size() - kHeader - kTag, '\0');
   bool known = false, authentic = false;
   for (const Key& key : keys_) {
-    if (IdOf(key) != static_cast<unsigned char>(datagram[1])) continue;
+    if (IdOf(key) != static_cast<unsigned char>(datagram[1]))
+      continue;
     known = true;
     unsigned long long length = 0;
     authentic = crypto_aead_xchacha20poly1305_ietf_decrypt(reinterpret_cast<unsigned char*>(packet.data()),
                                                            &length, nullptr, Bytes(datagram) + kHeader,
                                                            datagram.size() - kHeader, Bytes(datagram),
                                                            kHeader, Bytes(datagram) + 2, key.data()) == 0;
-    if (authentic) break;
+    if (authentic)
+      break;
   }
-  if (!known) return Drop(Dropped::kKey);
-  if (!authentic) return Drop(Dropped::kForged);
+  if (!known)
+    return Drop(Dropped::kKey);
+  if (!authentic)
+    return Drop(Dropped::kForged);
   const auto sealed_at =
       static_cast<Micros>(std::min<std::uint64_t>(NumberAt(datagram, 18), INT64_MAX / 1'000)) * kMillisecond;
   if (sealed_at < unix_now - kClockWindow || sealed_at > unix_now + kClockWindow)
     return Drop(Dropped::kStale);
   Dropped why = Dropped::kReplayed;
-  if (!Fresh(unix_now, NumberAt(datagram, 2), NumberAt(datagram, 10), &why)) return Drop(why);
+  if (!Fresh(unix_now, NumberAt(datagram, 2), NumberAt(datagram, 10), &why))
+    return Drop(why);
   return packet;
 }
 
@@ -119,7 +130,8 @@
     s.highest = counter;
   } else {
     const std::uint64_t behind = s.highest - counter;
-    if (behind >= kWindow || s.seen.test(behind)) return false;
+    if (behind >= kWindow || s.seen.test(behind))
+      return false;
     s.seen.set(behind);
   }
   s.last = now;
@@ -128,18 +140,21 @@
 
 std::vector<Key> ReadKeys(const std::string& path) {
   struct stat status {};
-  if (stat(path.c_str(), &status) != 0) throw std::runtime_error(path + ":1: the key file cannot be read");
+  if (stat(path.c_str(), &status) != 0)
+    throw std::runtime_error(path + ":1: the key file cannot be read");
   if ((status.st_mode & 077) != 0)
     throw std::runtime_error(path + ":1: the key file is open to others than its owner (chmod 600)");
   std::ifstream file(path);
-  if (!file) throw std::runtime_error(path + ":1: the key file cannot be read");
+  if (!file)
+    throw std::runtime_error(path + ":1: the key file cannot be read");
   std::vector<Key> keys;
   int number = 0;
   for (std::string line; std::getline(file, line) && number < 1'000;) {
     ++number;
     line.erase(std::min(line.find('#'), line.size()));
     line.erase(line.find_last_not_of(" \t\r") + 1);
-    if (line.empty()) continue;
+    if (line.empty())
+      continue;
     Key key;
     std::size_t length = 0;
     const char* end = nullptr;
@@ -147,10 +162,12 @@
     const std::string where = path + ":" + std::to_string(number) + ": ";
     if (bad != 0 || length != key.size() || end != line.data() + line.size())
       throw std::runtime_error(where + "a key must be 64 hex digits");
-    if (keys.size() == 2) throw std::runtime_error(where + "at most two keys are in force at a time");
+    if (keys.size() == 2)
+      throw std::runtime_error(where + "at most two keys are in force at a time");
     keys.push_back(key);
   }
-  if (keys.empty()) throw std::runtime_error(path + ":1: the key file holds no key");
+  if (keys.empty())
+    throw std::runtime_error(path + ":1: the key file holds no key");
   return keys;
 }
 
--- a/src/membership/spread_queue.h
+++ b/src/membership/spread_queue.h
@@ -25,7 +25,8 @@
     const Place place{0, -static_cast<std::int64_t>(++puts_), key};
     items_.emplace(key, Item{std::move(value), size, place});
     order_.insert(place);
-    if (items_.size() <= most_) return;
+    if (items_.size() <= most_)
+      return;
     const std::string last = std::get<2>(*std::prev(order_.end()));
     Remove(last);
     ++given_up_;
@@ -33,7 +34,8 @@
 
   void Remove(const std::string& key) {
     const auto found = items_.find(key);
-    if (found == items_.end()) return;
+    if (found == items_.end())
+      return;
     order_.erase(found->second.place);
     items_.erase(found);
   }
@@ -44,7 +46,8 @@
     std::vector<std::string> keys;
     for (const Place& place : order_) {
       const Item& item = items_.at(std::get<2>(place));
-      if (item.size > bytes) break;
+      if (item.size > bytes)
+        break;
       bytes -= item.size;
       taken->push_back(item.value);
       keys.push_back(std::get<2>(place));
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -22,7 +22,8 @@
 constexpr int kTurn = 64;
 
 std::uint64_t NewSession() {
-  if (sodium_init() < 0) throw std::runtime_error("membership: libsodium cannot begin");
+  if (sodium_init() < 0)
+    throw std::runtime_error("membership: libsodium cannot begin");
   std::uint64_t session = 0;
   randombytes_buf(&session, sizeof(session));
   return session;
@@ -37,7 +38,8 @@
   const sockaddr_in address = ToSockaddr(listen);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
     const int error = errno;
-    if (fd_ >= 0) close(fd_);
+    if (fd_ >= 0)
+      close(fd_);
     throw std::runtime_error("membership.listen: cannot listen on " + ToText(listen) + ": " +
                              std::strerror(error));
   }
@@ -77,14 +79,16 @@
     const ssize_t got =
         recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&peer), &size);
     if (got < 0) {
-      if (errno == EAGAIN || errno == EWOULDBLOCK) return;
+      if (errno == EAGAIN || errno == EWOULDBLOCK)
+        return;
       continue;  // an earlier datagram met a closed port: told once, and no more than that
     }
     ++transport->counters_.received;
     transport->counters_.received_bytes += static_cast<std::uint64_t>(got);
     const auto opened = transport->sealer_.Open(
         transport->now_(), std::string_view(bytes.data(), static_cast<std::size_t>(got)));
-    if (!opened) continue;
+    if (!opened)
+      continue;
     std::optional<Packet> packet = Decode(*opened);
     if (!packet) {
       transport->sealer_.CountMalformed();
--- a/src/name_table/codec.cpp
+++ b/src/name_table/codec.cpp
@@ -11,30 +11,39 @@
 using Json = nlohmann::json;
 
 Instance::State DecodeState(const std::string& text) {
-  if (text == "SERVING") return Instance::State::kReady;
-  if (text == "DRAINING") return Instance::State::kDraining;
-  if (text == "DELETED") return Instance::State::kGone;
+  if (text == "SERVING")
+    return Instance::State::kReady;
+  if (text == "DRAINING")
+    return Instance::State::kDraining;
+  if (text == "DELETED")
+    return Instance::State::kGone;
   throw BadMessage("state '" + text + "' is unknown");
 }
 
 }  // namespace
 
 NameTableMessage DecodeNameTable(const Json& json) {
-  if (!json.is_object()) throw BadMessage("is not a JSON object");
+  if (!json.is_object())
+    throw BadMessage("is not a JSON object");
   NameTableMessage message;
   const double version = NumberOf(json, "version", 0.0);
-  if (!(version >= 0.0 && version < 9e15)) throw BadMessage("version is out of range");
+  if (!(version >= 0.0 && version < 9e15))
+    throw BadMessage("version is out of range");
   message.version = static_cast<std::uint64_t>(version);
   const auto full = json.find("full");
-  if (full != json.end() && !full->is_boolean()) throw BadMessage("full must be true or false");
+  if (full != json.end() && !full->is_boolean())
+    throw BadMessage("full must be true or false");
   message.full = full != json.end() && full->get<bool>();
   const auto list = json.find("servers");
-  if (list == json.end() || !list->is_array()) throw BadMessage("servers must be a list");
+  if (list == json.end() || !list->is_array())
+    throw BadMessage("servers must be a list");
   for (const Json& item : *list) {
-    if (!item.is_object()) throw BadMessage("servers must hold objects");
+    if (!item.is_object())
+      throw BadMessage("servers must hold objects");
     Instance entry;
     entry.name = TextOf(item, "id");
-    if (entry.name.empty()) throw BadMessage("id must not be empty");
+    if (entry.name.empty())
+      throw BadMessage("id must not be empty");
     entry.state = DecodeState(TextOf(item, "state"));
     entry.address = TextOf(item, "addr", "");
     if (entry.address.empty() && entry.state != Instance::State::kGone)
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -8,7 +8,8 @@
 
 std::optional<Endpoint> ParseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos) return std::nullopt;
+  if (colon == std::string::npos)
+    return std::nullopt;
   Endpoint endpoint;
   endpoint.host = text.substr(0, colon);
   const char* first = text.data() + colon + 1;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -58,7 +58,8 @@
   EventPtr<evconnlistener> listener(bound ? evconnlistener_new(base, accepted, arg, kFlags, kNotYet, fd)
                                           : nullptr);
   if (listener == nullptr) {
-    if (fd >= 0) evutil_closesocket(fd);
+    if (fd >= 0)
+      evutil_closesocket(fd);
     throw std::runtime_error(std::string(field) + ": cannot listen on " + endpoint.host + ":" +
                              std::to_string(endpoint.port) + ": " + std::strerror(error));
   }
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -34,8 +34,10 @@
     const std::size_t unfinished = text == nullptr ? evbuffer_get_length(input) : size;
     const std::string line(text == nullptr ? "" : text, text == nullptr ? 0 : size);
     std::free(text);
-    if (unfinished > connection->server_->limits_.most_line) return connection->End();
-    if (text == nullptr) return;
+    if (unfinished > connection->server_->limits_.most_line)
+      return connection->End();
+    if (text == nullptr)
+      return;
     connection->answered_ = true;
     const std::string answer = connection->server_->answer_(line);
     bufferevent_write(stream, answer.data(), answer.size());
@@ -43,7 +45,8 @@
   static void OnWritten(bufferevent* stream, void* self) {
     auto* connection = static_cast<Connection*>(self);
     // Our end first: a close over bytes that are not read would reset the connection, and the answer with it.
-    if (connection->answered_) shutdown(bufferevent_getfd(stream), SHUT_WR);
+    if (connection->answered_)
+      shutdown(bufferevent_getfd(stream), SHUT_WR);
   }
   static void OnEvent(bufferevent*, short, void* self) { static_cast<Connection*>(self)->End(); }
 
--- a/src/net/message_pack.h
+++ b/src/net/message_pack.h
@@ -24,12 +24,14 @@
 class MessageFields {
  public:
   explicit MessageFields(const msgpack::object& object) {
-    if (object.type != msgpack::type::ARRAY) throw std::runtime_error("not an array");
+    if (object.type != msgpack::type::ARRAY)
+      throw std::runtime_error("not an array");
     next_ = object.via.array.ptr;
     end_ = next_ + object.via.array.size;
   }
   const msgpack::object& Object() {
-    if (next_ == end_) throw std::runtime_error("too few fields");
+    if (next_ == end_)
+      throw std::runtime_error("too few fields");
     return *next_++;
   }
   template <typename T>
@@ -38,13 +40,15 @@
   }
   std::string Name() {
     auto name = Take<std::string>();
-    if (name.empty() || name.size() > kMostMessageName) throw std::runtime_error("not a name");
+    if (name.empty() || name.size() > kMostMessageName)
+      throw std::runtime_error("not a name");
     return name;
   }
   // Of those that are counted on from: there must always be room for the next.
   std::uint64_t Number53() {
     const auto number = Take<std::uint64_t>();
-    if (number >> 53 != 0) throw std::runtime_error("out of range");
+    if (number >> 53 != 0)
+      throw std::runtime_error("out of range");
     return number;
   }
   template <typename T, typename F>
@@ -61,7 +65,8 @@
     return items;
   }
   void End() const {
-    if (next_ != end_) throw std::runtime_error("too many fields");
+    if (next_ != end_)
+      throw std::runtime_error("too many fields");
   }
 
  private:
@@ -84,7 +89,8 @@
     const msgpack::unpack_limit limit(kMostMessageItems, 0, 65'536, 0, 0, 8);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), read, nullptr, nullptr, limit);
-    if (read != bytes.size()) return std::nullopt;
+    if (read != bytes.size())
+      return std::nullopt;
     return take(handle.get());
   } catch (const std::exception&) {
     return std::nullopt;
--- a/src/pulleyrouter/fleet.cpp
+++ b/src/pulleyrouter/fleet.cpp
@@ -12,7 +12,8 @@
 // FNV-1a: places on the ring must be alike on every node, so not std::hash.
 std::uint64_t HashName(const std::string& name) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+  for (const char c : name)
+    hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return Mix(hash);
 }
 
@@ -37,7 +38,8 @@
 
 void Fleet::Apply(const WorkerList& list) {
   if (list.form != WorkerList::Form::kDelta) {
-    for (Worker& w : workers_) w.state = WorkerEntry::State::kGone;
+    for (Worker& w : workers_)
+      w.state = WorkerEntry::State::kGone;
   }
   for (const WorkerEntry& entry : list.workers) {
     const auto [at, is_new] = index_.emplace(entry.worker, static_cast<int>(workers_.size()));
@@ -47,7 +49,8 @@
     }
     Worker& w = workers_[at->second];
     w.state = entry.state;
-    if (entry.state == WorkerEntry::State::kGone) continue;
+    if (entry.state == WorkerEntry::State::kGone)
+      continue;
     if (entry.since != w.since) {
       Worker fresh;
       fresh.name = std::move(w.name);
@@ -70,7 +73,8 @@
   w.ours += slots;
   w.sent_since += slots;
   ours_ += slots;
-  if (!key || w.HasKey(*key)) return;
+  if (!key || w.HasKey(*key))
+    return;
   // A worker is taken to keep one key's data a slot.
   w.keys.push_front(*key);
   w.keys.resize(std::min(w.keys.size(), static_cast<std::size_t>(kind_of(w).slots)));
@@ -88,7 +92,8 @@
 
 double Fleet::ready_slots() const {
   double slots = 0.0;
-  for (std::size_t k = 0; k < kinds_.size(); ++k) slots += kinds_[k].slots * static_cast<double>(ready_[k]);
+  for (std::size_t k = 0; k < kinds_.size(); ++k)
+    slots += kinds_[k].slots * static_cast<double>(ready_[k]);
   return slots;
 }
 
@@ -111,7 +116,8 @@
   ready_.assign(kinds_.size(), 0);
   std::vector<int> order;
   for (int i = 0; i < static_cast<int>(workers_.size()); ++i) {
-    if (workers_[i].state == WorkerEntry::State::kReady) order.push_back(i);
+    if (workers_[i].state == WorkerEntry::State::kReady)
+      order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [this](int a, int b) {
     return std::tie(workers_[a].place, workers_[a].name) < std::tie(workers_[b].place, workers_[b].name);
@@ -124,7 +130,8 @@
     ++ready_[workers_[i].kind];
     by_cell_[workers_[i].cell].Add(i, workers_[i].weight);
     list(i, 0);  // any kind
-    if (workers_[i].kind != 0) list(i, workers_[i].kind);
+    if (workers_[i].kind != 0)
+      list(i, workers_[i].kind);
   }
 }
 
