--- a/src/pulleyrouter/policy.cpp
+++ b/src/pulleyrouter/policy.cpp
@@ -58,7 +58,8 @@
     for (const TenantSettings& t : s_.tenants) {
       tenant_of_.emplace(t.name, static_cast<int>(tenants_.size()));
       tenants_.emplace_back().share = t.share;
-      if (t.quota_per_s) quota_ += *t.quota_per_s / s_.nodes;
+      if (t.quota_per_s)
+        quota_ += *t.quota_per_s / s_.nodes;
     }
     // Jobs of no listed tenant live on what others leave, where there are shares.
     tenants_.emplace_back().share = s_.tenants.empty() ? 1.0 : 1e-6;
@@ -76,14 +77,18 @@
     // What happened counts before the tokens of the time that led up to it, which release held jobs: their
     // client or a worker may be gone. Only an arrival comes after those held.
     const bool arrival = std::holds_alternative<Arrival>(event);
-    if (!arrival) std::visit([this](const auto& e) { On(e); }, event);
-    if (!begun_) Begin();
+    if (!arrival)
+      std::visit([this](const auto& e) { On(e); }, event);
+    if (!begun_)
+      Begin();
     // A node that slept does not owe more tokens than its banks hold.
     next_token_ = std::max(next_token_, now_ - 30 * static_cast<Micros>(kSecond));
     for (; next_token_ <= now_; next_token_ += std::max<Micros>(1, static_cast<Micros>(kSecond / rate_)))
       GiveToken();
-    for (Tenant& t : tenants_) RefuseOverdue(&t);
-    if (arrival) On(std::get<Arrival>(event));
+    for (Tenant& t : tenants_)
+      RefuseOverdue(&t);
+    if (arrival)
+      On(std::get<Arrival>(event));
     WakeForTokens();
   }
   bool Avoids(const std::string& worker) const { return fleet_.Avoids(worker, now_); }
@@ -98,7 +103,8 @@
     rate_ = StartRate();
     // Full banks would burst at a restart, empty ones refuse what a calm fleet could take. The random phase
     // keeps nodes that start together from releasing held jobs in step.
-    for (Tenant& t : tenants_) t.tokens = BankSize(t) / 2;
+    for (Tenant& t : tenants_)
+      t.tokens = BankSize(t) / 2;
     next_token_ = now_ + static_cast<Micros>(random_.Uniform() * kSecond / rate_);
     if (s_.subscribe)
       SetTimerIn(static_cast<Micros>(random_.Uniform() * s_.must_ask_in / 100), kListTimer, 0);
@@ -106,7 +112,8 @@
 
   // Tokens a second for one node: its part of the quotas; failing those, of what the listed workers can run.
   double StartRate() const {
-    if (quota_ > 0.0) return std::max(1.0, quota_ * mean_tokens_);
+    if (quota_ > 0.0)
+      return std::max(1.0, quota_ * mean_tokens_);
     return std::max(1.0, fleet_.ready_slots() * kSecond / mean_job_ * mean_tokens_ / s_.nodes);
   }
 
@@ -145,16 +152,20 @@
     mean_tokens_ += kLearn * (r->tokens - mean_tokens_);
     mean_job_ += kLearn * (r->slots * run_time_[r->klass] - mean_job_);
     t.widest = std::max(t.widest, r->tokens);
-    if (arriving_ == 0.0 && quota_ == 0.0) counted_from_ = now_;
+    if (arriving_ == 0.0 && quota_ == 0.0)
+      counted_from_ = now_;
     arriving_ = Lasting() + r->tokens * kSecond / kRecent;
     arrived_at_ = now_;
-    if (accepted_) rate_ = std::max(rate_, Needed());
-    if (Counter(t) < r->tokens) return Finish(r);
+    if (accepted_)
+      rate_ = std::max(rate_, Needed());
+    if (Counter(t) < r->tokens)
+      return Finish(r);
     const int paid = std::min(t.tokens, r->tokens);
     t.tokens -= paid;
     r->unpaid = r->tokens - paid;
     t.unpaid += r->unpaid;
-    if (r->unpaid == 0) return Dispatch(r);
+    if (r->unpaid == 0)
+      return Dispatch(r);
     t.held.push_back(r->id);
   }
 
@@ -163,9 +174,11 @@
     const auto by_pass = [&](const Tenant& a, const Tenant& b) { return next(a) < next(b); };
     const auto turn = std::min_element(tenants_.begin(), tenants_.end(), by_pass);
     turn->pass = next(*turn);
-    if (Credit(&*turn)) return;
+    if (Credit(&*turn))
+      return;
     // An idle tenant's token passes to the neediest while attempts find room, or it would displace shares.
-    if (strain_ > kSteady) return;
+    if (strain_ > kSteady)
+      return;
     const auto by_need = [this](const Tenant& a, const Tenant& b) { return Counter(a) < Counter(b); };
     Credit(&*std::min_element(tenants_.begin(), tenants_.end(), by_need));
   }
@@ -179,7 +192,8 @@
     }
     Request& head = requests_.At(t->held.front());
     --t->unpaid;
-    if (--head.unpaid > 0) return true;
+    if (--head.unpaid > 0)
+      return true;
     t->held.pop_front();
     Dispatch(&head);
     return true;
@@ -188,9 +202,11 @@
   // A held job is refused while there is time left to run it elsewhere: half its target may pass here.
   void RefuseOverdue(Tenant* t) {
     for (std::size_t i = t->held.size(); i-- > 0;) {
-      if (i >= t->held.size()) continue;
+      if (i >= t->held.size())
+        continue;
       Request& r = requests_.At(t->held[i]);
-      if (Since(r.arrived) >= Class(r).target / 2.0 || now_ >= r.deadline) Finish(&r);
+      if (Since(r.arrived) >= Class(r).target / 2.0 || now_ >= r.deadline)
+        Finish(&r);
     }
   }
 
@@ -198,14 +214,17 @@
   void Unhold(Request* r) {
     Tenant& t = tenants_[r->tenant];
     const auto at = std::find(t.held.begin(), t.held.end(), r->id);
-    if (at == t.held.end()) return;
+    if (at == t.held.end())
+      return;
     t.held.erase(at);
     t.unpaid -= r->unpaid;
-    for (int paid = r->tokens - r->unpaid; paid > 0; --paid) Credit(&t);
+    for (int paid = r->tokens - r->unpaid; paid > 0; --paid)
+      Credit(&t);
   }
 
   void WakeForTokens() {
-    if (wake_at_ > now_ || std::ranges::all_of(tenants_, [](auto& t) { return t.held.empty(); })) return;
+    if (wake_at_ > now_ || std::ranges::all_of(tenants_, [](auto& t) { return t.held.empty(); }))
+      return;
     wake_at_ = std::min(next_token_, now_ + shortest_target_ / 4 + 1);
     SetTimerIn(wake_at_ - now_, kTokenTimer, 0);
   }
@@ -213,21 +232,25 @@
   // The rate R: rises while workers accept, falls on time-outs, lost jobs, late starts and a 'full' that
   // leaves nothing more to try. Rises add and falls multiply: after a few late starts it soon returns.
   void LearnRate(double change) {
-    if (change < 0.0) shallow_ -= kLearn * shallow_;
+    if (change < 0.0)
+      shallow_ -= kLearn * shallow_;
     strain_ += kLearn * ((change <= -kDown ? 1.0 : 0.0) - strain_);
     accepted_ = accepted_ || change > 0.0;
     const double start = StartRate(), most = std::max(2.0 * start, Needed());
     rate_ = std::clamp(rate_ + change * (change > 0.0 ? start : rate_), start / 8.0, most);
-    if (rate_ <= start / 8.0) Tell("rate at its floor: most attempts start late, are lost or find no room");
+    if (rate_ <= start / 8.0)
+      Tell("rate at its floor: most attempts start late, are lost or find no room");
   }
 
   // ---- Requests ----
 
   void On(const Arrival& a) {
-    if (requests_.Has(a.request)) return;
+    if (requests_.Has(a.request))
+      return;
     const int klass = Lookup(class_of_, a.klass, kNone);
     // Nothing was sent: harmless to try elsewhere.
-    if (klass == kNone || a.time_left <= 0) return out_->push_back(Refuse{a.request});
+    if (klass == kNone || a.time_left <= 0)
+      return out_->push_back(Refuse{a.request});
     Request& r = requests_.Add(a.request);
     r.klass = klass;
     r.tenant = Lookup(tenant_of_, a.tenant, static_cast<int>(tenants_.size()) - 1);
@@ -235,7 +258,8 @@
     r.arrived = now_;
     r.deadline = now_ + a.time_left;
     r.key = a.key;
-    if (r.key) keys_.Note(*r.key);
+    if (r.key)
+      keys_.Note(*r.key);
     SetTimerIn(a.time_left, kDeadlineTimer, r.id);
     ProbeNext();
     Admit(&r);
@@ -245,7 +269,8 @@
   void Dispatch(Request* r) {
     const Micros start_by = MayStartUntil(*r);
     const int index = now_ < start_by ? Pick(*r) : kNone;
-    if (index == kNone) return r->HasOpen() ? void() : Finish(r);
+    if (index == kNone)
+      return r->HasOpen() ? void() : Finish(r);
     Worker& w = fleet_.worker(index);
     fleet_.NoteSent(index, r->slots, r->key);
     r->attempts.push_back(Attempt{index, now_});
@@ -265,7 +290,8 @@
     for (std::size_t i = 0; i < r->attempts.size() && !r->ended; ++i) {
       Attempt& a = r->attempts[i];
       const Micros waited = now_ - a.sent;
-      if (!a.open || a.called_off || a.started != 0) continue;
+      if (!a.open || a.called_off || a.started != 0)
+        continue;
       const double patience = Patience(*r);
       Worker& w = fleet_.worker(a.worker);
       const Micros quiet = now_ - std::max(a.sent, w.answered_at);
@@ -281,13 +307,15 @@
         SetTimerIn(kAnswerWithin - (now_ - w.asked_at), kSilenceTimer, r->id);
         continue;
       }
-      if (w.down_until <= now_) LeaveAlone(&w);
+      if (w.down_until <= now_)
+        LeaveAlone(&w);
       const ClassSettings& c = Class(*r);
       const bool harmless =
           c.repeat == Repeat::kRepeatable || (c.repeat == Repeat::kKeyed && waited < c.window);
       const bool again = harmless && s_.cancel && r->deadline - now_ > patience / 2 &&
                          std::ssize(r->attempts) < s_.max_attempts && tenants_[r->tenant].tokens >= r->tokens;
-      if (!again || std::exchange(a.called_off, true)) continue;
+      if (!again || std::exchange(a.called_off, true))
+        continue;
       out_->push_back(Cancel{r->id, static_cast<int>(i)});
     }
   }
@@ -301,11 +329,14 @@
   // The ledger of rule 2: until when a further attempt is harmless whatever the earlier ones did; 0: never.
   Micros MayStartUntil(const Request& r) const {
     const ClassSettings& c = Class(r);
-    if (r.ended || r.streaming || std::ssize(r.attempts) >= s_.max_attempts) return 0;
+    if (r.ended || r.streaming || std::ssize(r.attempts) >= s_.max_attempts)
+      return 0;
     Micros until = r.deadline;
     for (const Attempt& a : r.attempts) {
-      if ((a.open && !s_.second_copies) || (a.may_have_run && c.repeat == Repeat::kUnsafe)) return 0;
-      if (a.may_have_run && c.repeat == Repeat::kKeyed) until = a.sent + std::min(c.window, until - a.sent);
+      if ((a.open && !s_.second_copies) || (a.may_have_run && c.repeat == Repeat::kUnsafe))
+        return 0;
+      if (a.may_have_run && c.repeat == Repeat::kKeyed)
+        until = a.sent + std::min(c.window, until - a.sent);
     }
     return until;
   }
@@ -321,12 +352,14 @@
       out_->push_back(MayRefuse(*r) ? Action(Refuse{r->id, RetryAfter(*r)}) : Action(Fail{r->id}));
     Unhold(r);
     CallOff(r, nullptr);
-    if (!r->HasOpen()) requests_.Erase(r->id);  // else its outcomes are still to come
+    if (!r->HasOpen())
+      requests_.Erase(r->id);  // else its outcomes are still to come
   }
 
   // When the tenant's tokens will have paid for the job; spread, or those refused together return together.
   Micros RetryAfter(const Request& r) {
-    if (!s_.retry_after) return 0;
+    if (!s_.retry_after)
+      return 0;
     const Tenant& t = tenants_[r.tenant];
     const double pay = (r.tokens + t.unpaid) * kSecond / (rate_ * t.share);
     return std::min(s_.max_retry_after, static_cast<Micros>(pay * (0.5 + random_.Uniform())));
@@ -335,19 +368,22 @@
   void CallOff(Request* r, const Attempt* keep) {
     for (std::size_t i = 0; s_.cancel && i < r->attempts.size(); ++i) {
       Attempt& a = r->attempts[i];
-      if (!a.open || &a == keep || std::exchange(a.called_off, true)) continue;
+      if (!a.open || &a == keep || std::exchange(a.called_off, true))
+        continue;
       out_->push_back(Cancel{r->id, static_cast<int>(i)});
     }
   }
 
   void On(const StreamStarted& e) {
-    if (requests_.FindOpen(e.request, e.attempt) != nullptr) requests_.At(e.request).streaming = true;
+    if (requests_.FindOpen(e.request, e.attempt) != nullptr)
+      requests_.At(e.request).streaming = true;
     On(Progress{e.request, e.attempt, true, 0.0});
   }
 
   void On(const Progress& e) {
     Attempt* a = requests_.FindOpen(e.request, e.attempt);
-    if (a == nullptr || a->started != 0) return;
+    if (a == nullptr || a->started != 0)
+      return;
     Request& r = requests_.At(e.request);
     const bool first = !r.HasStarted();
     a->started = now_;
@@ -359,7 +395,8 @@
     // its start so does what workers would turn away if they could not start it soon.
     const double step = delay > 2.0 * usual ? kUp : rate_ < StartRate() ? kDown : kDown * shallow_;
     LearnRate(delay > Slack(r) ? -kDown : std::max(kUp, step));
-    if (first && !r.ended) CallOff(&r, a);
+    if (first && !r.ended)
+      CallOff(&r, a);
   }
 
   // How late a job of middling length may start and still be in time; few of a long-tailed class are average.
@@ -369,7 +406,8 @@
 
   void On(const AttemptEnded& e) {
     Attempt* a = requests_.FindOpen(e.request, e.attempt);
-    if (a == nullptr) return;
+    if (a == nullptr)
+      return;
     Request& r = requests_.At(e.request);
     Worker& w = fleet_.worker(a->worker);
     a->open = false;
@@ -379,34 +417,43 @@
     Absorb(a->worker, e.report);
     Judge(&w, r, *a, e.outcome);
     r.ended = r.ended || e.request_ended;
-    if (r.ended || now_ >= r.deadline) return Finish(&r);
-    if (r.HasOpen()) return;
+    if (r.ended || now_ >= r.deadline)
+      return Finish(&r);
+    if (r.HasOpen())
+      return;
     // One that may have run must pay again, so that failures cannot feed an overload with attempts.
-    if (a->may_have_run && !PayFromBank(r)) return Finish(&r);
+    if (a->may_have_run && !PayFromBank(r))
+      return Finish(&r);
     Dispatch(&r);
   }
 
   bool PayFromBank(const Request& r) {
     Tenant& t = tenants_[r.tenant];
-    if (t.tokens < r.tokens || !MayTryAgain(r)) return false;
+    if (t.tokens < r.tokens || !MayTryAgain(r))
+      return false;
     t.tokens -= r.tokens;
     return true;
   }
 
   void On(const ClientGone& e) {
     Request* r = requests_.Find(e.request);
-    if (r == nullptr) return;
+    if (r == nullptr)
+      return;
     r->ended = true;
     Finish(r);
   }
 
   void On(const TimerFired& e) {
     const std::uint64_t kind = e.token >> kTimerShift;
-    if (kind == kListTimer) return AskForList();
+    if (kind == kListTimer)
+      return AskForList();
     Request* r = requests_.Find(RequestId{e.token & ((1ULL << kTimerShift) - 1)});
-    if (r == nullptr) return;
-    if (kind == kSilenceTimer) return LookForSilence(r);
-    if (kind == kDeadlineTimer && !r->streaming && now_ >= r->deadline) Finish(r);
+    if (r == nullptr)
+      return;
+    if (kind == kSilenceTimer)
+      return LookForSilence(r);
+    if (kind == kDeadlineTimer && !r->streaming && now_ >= r->deadline)
+      Finish(r);
   }
 
   // ---- Workers ----
@@ -420,7 +467,8 @@
     const double wait = short_of > 8.0 ? short_of : std::log1p(std::exp(2.0 * short_of)) / 2.0;
     const double slower = fleet_.zone_of(*w).start_delay - fleet_.home_zone().start_delay;
     const bool away = w->zone != fleet_.home();
-    if (away) extra += std::max(0.0, slower) / run;
+    if (away)
+      extra += std::max(0.0, slower) / run;
     // What is left for waiting, against the expected wait, taken as exponential.
     const double left = std::max(0.1, Class(r).target / run + Class(r).stretch - w->pace - extra);
     const double queued = w->pace * wait / fleet_.kind_of(*w).slots;
@@ -435,7 +483,8 @@
   double FreeSlots(const Worker& w) const {
     const double room = (fleet_.free_share(w) - 1.0 + WarmShare(w)) * fleet_.kind_of(w).slots;
     const double usual = room + w.lean - (w.ours - fleet_.mean_ours());
-    if (w.reported_at < 0) return usual;
+    if (w.reported_at < 0)
+      return usual;
     const double trust = std::exp(-Since(w.reported_at) / MeanRunTime());
     return usual + trust * (w.reported_free - w.sent_since - usual);
   }
@@ -455,7 +504,8 @@
       return !Cold(fleet_.worker(w)) || fleet_.worker(w).state != WorkerEntry::State::kReady;
     });
     const double size = r.slots * run_time_[r.klass] / mean_job_;
-    if (cold_.empty() || size > kShort) return kNone;
+    if (cold_.empty() || size > kShort)
+      return kNone;
     const Micros since = std::min(now_ - std::exchange(drawn_at_, now_), s_.fall / 3);
     double sizes = 0.0, classes = 0.0, parts = 0.0;
     for (const double run : run_time_) {
@@ -464,10 +514,12 @@
       classes += is_short;
     }
     // By their parts: by turns large ones would get fewer jobs than they can bear, however sure the draw.
-    for (const int w : cold_) parts += fleet_.part(fleet_.worker(w));
+    for (const int w : cold_)
+      parts += fleet_.part(fleet_.worker(w));
     std::size_t at = 0;
     for (double u = random_.Uniform() * parts; at + 1 < cold_.size(); ++at) {
-      if ((u -= fleet_.part(fleet_.worker(cold_[at]))) <= 0.0) break;
+      if ((u -= fleet_.part(fleet_.worker(cold_[at]))) <= 0.0)
+        break;
     }
     const Worker& w = fleet_.worker(cold_[at]);
     // m + 4 sqrt(v m) = mean jobs that it can bear in a window, v their mean square over their mean: four
@@ -486,14 +538,20 @@
   bool Eligible(int index, const Request& r, const Worker* anchor, bool gently, int drawn) {
     Worker& w = fleet_.worker(index);
     const ClassSettings& c = Class(r);
-    if (w.state != WorkerEntry::State::kReady) return false;
-    if (gently && (w.down_until > now_ || fleet_.zone_of(w).down_until > now_)) return false;
+    if (w.state != WorkerEntry::State::kReady)
+      return false;
+    if (gently && (w.down_until > now_ || fleet_.zone_of(w).down_until > now_))
+      return false;
     // Where a keyed request may have run, only the group of that worker drops its repeats.
-    if (anchor != nullptr && w.zone != anchor->zone) return false;
-    if (anchor != nullptr && c.scope == KeyScope::kCell && w.cell != anchor->cell) return false;
-    if (c.kind >= 0 && w.kind != c.kind + 1) return false;
+    if (anchor != nullptr && w.zone != anchor->zone)
+      return false;
+    if (anchor != nullptr && c.scope == KeyScope::kCell && w.cell != anchor->cell)
+      return false;
+    if (c.kind >= 0 && w.kind != c.kind + 1)
+      return false;
     for (const Attempt& a : r.attempts) {
-      if (a.worker == index && (a.open || gently)) return false;
+      if (a.worker == index && (a.open || gently))
+        return false;
     }
     return !Cold(w) || index == drawn;
   }
@@ -504,14 +562,17 @@
     const Worker* anchor = bound ? &fleet_.worker(r.MayHaveRunAt()) : nullptr;
     const int away = (fleet_.home() + 1 + random_.Draw(fleet_.zones() - 1)) % fleet_.zones();
     const int drawn = DrawCold(r);
-    if (drawn != kNone && Eligible(drawn, r, anchor, true, drawn)) return drawn;
+    if (drawn != kNone && Eligible(drawn, r, anchor, true, drawn))
+      return drawn;
     int best = kNone;
     double best_cost = 0.0;
     const auto consider = [&](int w, bool gently, double fetches) {
-      if (!Eligible(w, r, anchor, gently, drawn)) return;
+      if (!Eligible(w, r, anchor, gently, drawn))
+        return;
       Worker& worker = fleet_.worker(w);
       const double cost = Cost(&worker, r, !r.key || worker.HasKey(*r.key) ? 0.0 : fetches);
-      if (best != kNone && cost >= best_cost - kTie) return;
+      if (best != kNone && cost >= best_cost - kTie)
+        return;
       best = w;
       best_cost = cost;
     };
@@ -534,19 +595,24 @@
         consider(fleet_.OnRing(near, Mix(*r.key + (from + i * (homes / looks)) % homes)), true, kFetch / 2.0);
     }
     look(near, bound ? 4 * kSampled : kSampled, true);
-    if (bound) return best;
+    if (bound)
+      return best;
     look(fleet_.InZone(c.kind, away), kSampled, true);
-    for (const int w : fleet_.heard()) consider(w, true, kFetch);
-    if (best == kNone) look(fleet_.All(c.kind), 8 * kSampled, false);  // even where connects failed
+    for (const int w : fleet_.heard())
+      consider(w, true, kFetch);
+    if (best == kNone)
+      look(fleet_.All(c.kind), 8 * kSampled, false);  // even where connects failed
     return best;
   }
 
   void Absorb(int index, const LoadReport& report) {
     Worker* w = &fleet_.worker(index);
     Kind& kind = fleet_.kind_of(*w);
-    if (report.free_slots) kind.slots = std::max(kind.slots, std::floor(*report.free_slots + 0.3));
+    if (report.free_slots)
+      kind.slots = std::max(kind.slots, std::floor(*report.free_slots + 0.3));
     const std::optional<double> free = FreeSlotsIn(report, kind.slots);
-    if (!free) return;
+    if (!free)
+      return;
     kind.queue = std::max(kind.queue, -*free);
     // Of a time that is over: what it told of jobs that end sooner than it comes says nothing any more.
     w->NoteFree(*free, now_ - kReportLag);
@@ -566,7 +632,8 @@
   void Judge(Worker* w, const Request& r, const Attempt& a, Outcome outcome) {
     Fade(w);
     Zone& zone = fleet_.zone_of(*w);
-    if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
+    if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent)
+      return;
     if (outcome == Outcome::kConnectFailed) {
       // Several in a row in one zone: the zone is cut.
       LeaveAlone(w);
@@ -576,7 +643,8 @@
       }
       return LearnRate(-kDown);
     }
-    if (outcome != Outcome::kTimeout && outcome != Outcome::kLost) w->answered_at = now_;
+    if (outcome != Outcome::kTimeout && outcome != Outcome::kLost)
+      w->answered_at = now_;
     // A 'full' is fresher than any report, whose age would hide it: else one that turns all away looks idle.
     if (outcome == Outcome::kFull) {
       w->NoteFree(-std::max(fleet_.kind_of(*w).slots, fleet_.kind_of(*w).queue), now_);
@@ -593,7 +661,8 @@
     }
     w->errors += kLearnWorker * (failed - w->errors);
     fleet_errors_ += kLearn * (failed - fleet_errors_);
-    if (failed > 0.0) return;
+    if (failed > 0.0)
+      return;
     const double ran = Since(a.started != 0 ? a.started : a.sent);
     double& usual = run_time_[r.klass];
     // Clipped: one heavy job or pause convicts nobody.
@@ -602,28 +671,33 @@
     w->pace += kLearnWorker * (pace - w->pace);
     usual += kLearn * (ran - usual);
     median_run_[r.klass] *= ran > median_run_[r.klass] ? 1.0 + kLearn : 1.0 - kLearn;
-    if (!s_.tells_start) LearnRate(ran <= Slack(r) + usual ? kUp : -kDown);
+    if (!s_.tells_start)
+      LearnRate(ran <= Slack(r) + usual ? kUp : -kDown);
   }
 
   // Where only probes bring reports: one a request, the price is the same at any size; some to other zones.
   void ProbeNext() {
     const Pool& pool = random_.Draw(4) == 0 ? fleet_.All(-1) : fleet_.InZone(-1, fleet_.home());
-    if (!s_.probes || s_.reports != Settings::Reports::kProbesOnly || pool.empty()) return;
+    if (!s_.probes || s_.reports != Settings::Reports::kProbesOnly || pool.empty())
+      return;
     out_->push_back(Probe{fleet_.worker(pool[random_.Draw(pool.size())]).name});
   }
 
   void On(const ProbeDone& e) {
     const int index = fleet_.Find(e.worker);
-    if (index == kNone || e.outcome != Outcome::kServed) return;
+    if (index == kNone || e.outcome != Outcome::kServed)
+      return;
     Absorb(index, e.report);
     // It answers others' jobs: what waits there waits in a queue.
-    if (e.report.served_per_s.value_or(0.0) > 0.0) fleet_.worker(index).answered_at = now_;
+    if (e.report.served_per_s.value_or(0.0) > 0.0)
+      fleet_.worker(index).answered_at = now_;
   }
 
   // ---- The worker list ----
 
   void AskForList() {
-    if (subscribed_) return;
+    if (subscribed_)
+      return;
     out_->push_back(SubscribeList{});
     // A call that is never answered is made again well before the list counts as known without it.
     ask_wait_ = std::clamp<Micros>(2 * ask_wait_, s_.must_ask_in / 32, s_.must_ask_in / 4);
@@ -635,7 +709,8 @@
       Tell("worker list: call or subscription failed");
       // Spread: nodes lose their subscriptions together and must not all call at once.
       const double wait = random_.Uniform() * s_.must_ask_in / 32;
-      if (std::exchange(subscribed_, false)) SetTimerIn(static_cast<Micros>(wait), kListTimer, 0);
+      if (std::exchange(subscribed_, false))
+        SetTimerIn(static_cast<Micros>(wait), kListTimer, 0);
       return;
     }
     if (list.form != WorkerList::Form::kCached) {
@@ -645,7 +720,8 @@
     fleet_.Apply(list);
     cold_.clear();
     for (const int w : fleet_.All(-1)) {
-      if (Cold(fleet_.worker(w))) cold_.push_back(w);
+      if (Cold(fleet_.worker(w)))
+        cold_.push_back(w);
     }
   }
 
@@ -655,7 +731,8 @@
   }
   double Since(Micros then) const { return static_cast<double>(now_ - then); }
   void Tell(std::string text) {  // at most one line in ten seconds, so that a bad day does not flood the log
-    if (now_ < tell_from_) return;
+    if (now_ < tell_from_)
+      return;
     tell_from_ = now_ + 10 * static_cast<Micros>(kSecond);
     out_->push_back(Log{std::move(text)});
   }
--- a/src/pulleyrouter/settings.cpp
+++ b/src/pulleyrouter/settings.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 void Require(bool holds, const std::string& setting, const std::string& must) {
-  if (!holds) throw std::invalid_argument("setting " + setting + " " + must);
+  if (!holds)
+    throw std::invalid_argument("setting " + setting + " " + must);
 }
 
 void RequireFraction(double value, const std::string& setting) {
@@ -42,7 +43,8 @@
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
     const std::string at = "tenants[" + std::to_string(i) + "].";
     RequireNotNegative(s.tenants[i].share, at + "share");
-    if (s.tenants[i].quota_per_s) RequireNotNegative(*s.tenants[i].quota_per_s, at + "quota_per_s");
+    if (s.tenants[i].quota_per_s)
+      RequireNotNegative(*s.tenants[i].quota_per_s, at + "quota_per_s");
     shares += s.tenants[i].share;
   }
   Require(shares > 0.0, "tenants", "must hold a share between them");
@@ -60,7 +62,8 @@
   Require(s.warm_after >= 0, "warm_after", "must not be negative");
   RequireNotNegative(s.price_cross_zone, "price_cross_zone");
   RequireNotNegative(s.price_probe, "price_probe");
-  for (TenantSettings& tenant : s.tenants) tenant.share /= shares;
+  for (TenantSettings& tenant : s.tenants)
+    tenant.share /= shares;
   return s;
 }
 
--- a/src/pulleyrouter/state.h
+++ b/src/pulleyrouter/state.h
@@ -47,7 +47,8 @@
   // The worker of the first attempt that may have run, or -1.
   int MayHaveRunAt() const {
     for (const Attempt& a : attempts) {
-      if (a.may_have_run) return a.worker;
+      if (a.may_have_run)
+        return a.worker;
     }
     return -1;
   }
@@ -71,7 +72,8 @@
   // The open attempt of this number, or null.
   Attempt* FindOpen(RequestId id, int attempt) {
     Request* r = Find(id);
-    if (r == nullptr || attempt < 0 || attempt >= std::ssize(r->attempts)) return nullptr;
+    if (r == nullptr || attempt < 0 || attempt >= std::ssize(r->attempts))
+      return nullptr;
     return r->attempts[attempt].open ? &r->attempts[attempt] : nullptr;
   }
 
@@ -85,9 +87,11 @@
  public:
   void Note(std::uint64_t key) {
     ++cells_[Mix(key) % kCells];
-    if (++total_ < kCells * 2) return;
+    if (++total_ < kCells * 2)
+      return;
     total_ = 0;
-    for (int& cell : cells_) total_ += cell /= 2;
+    for (int& cell : cells_)
+      total_ += cell /= 2;
   }
   double Share(std::uint64_t key) const {
     // As if some other keys had been seen before: the first few counts would say too much.
@@ -157,9 +161,12 @@
 // jobs.
 inline std::optional<double> FreeSlotsIn(const LoadReport& report, double slots) {
   std::optional<double> free = report.free_slots;
-  if (!free && report.in_work) free = slots - *report.in_work;
-  if (!free && report.cpu_share) free = slots * (1.0 - *report.cpu_share);
-  if (free) *free -= report.waiting.value_or(0.0);
+  if (!free && report.in_work)
+    free = slots - *report.in_work;
+  if (!free && report.cpu_share)
+    free = slots * (1.0 - *report.cpu_share);
+  if (free)
+    *free -= report.waiting.value_or(0.0);
   return free;
 }
 
--- a/src/pulleyrouter_wire/codec.cpp
+++ b/src/pulleyrouter_wire/codec.cpp
@@ -18,19 +18,23 @@
 T ParseAs(std::string_view name, std::string_view value, std::string_view wanted) {
   T parsed{};
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parsed);
-  if (error != std::errc() || end != value.data() + value.size()) Bad(name, value, wanted);
+  if (error != std::errc() || end != value.data() + value.size())
+    Bad(name, value, wanted);
   return parsed;
 }
 
 double ParseNumber(std::string_view name, std::string_view value) {
   const auto number = ParseAs<double>(name, value, "a number");
-  if (!std::isfinite(number)) Bad(name, value, "a finite number");
+  if (!std::isfinite(number))
+    Bad(name, value, "a finite number");
   return number;
 }
 
 bool ParseBool(std::string_view name, std::string_view value) {
-  if (value == "1" || value == "true") return true;
-  if (value == "0" || value == "false") return false;
+  if (value == "1" || value == "true")
+    return true;
+  if (value == "0" || value == "false")
+    return false;
   Bad(name, value, "a bool");
 }
 
@@ -46,19 +50,28 @@
 
 // The i-th of a list setting that may be shorter: its last item then serves for the rest.
 std::optional<std::string> ItemOf(const std::vector<std::string>& items, std::size_t i) {
-  if (items.empty()) return std::nullopt;
+  if (items.empty())
+    return std::nullopt;
   return items[std::min(i, items.size() - 1)];
 }
 
 Outcome ParseOutcome(std::string_view value) {
-  if (value == "delivered") return Outcome::kServed;
-  if (value == "app_error") return Outcome::kError;
-  if (value == "shed") return Outcome::kFull;
-  if (value == "expired") return Outcome::kTimeout;
-  if (value == "dial_failed") return Outcome::kConnectFailed;
-  if (value == "dropped") return Outcome::kLost;
-  if (value == "revoked") return Outcome::kCancelled;
-  if (value == "unused") return Outcome::kNotSent;
+  if (value == "delivered")
+    return Outcome::kServed;
+  if (value == "app_error")
+    return Outcome::kError;
+  if (value == "shed")
+    return Outcome::kFull;
+  if (value == "expired")
+    return Outcome::kTimeout;
+  if (value == "dial_failed")
+    return Outcome::kConnectFailed;
+  if (value == "dropped")
+    return Outcome::kLost;
+  if (value == "revoked")
+    return Outcome::kCancelled;
+  if (value == "unused")
+    return Outcome::kNotSent;
   Bad("result", value, "an outcome code");
 }
 
@@ -66,22 +79,31 @@
 LoadReport ParseReport(const Line& line) {
   LoadReport report;
   std::string_view text = line.TextOr("stats", "");
-  if (text == "-") return report;
+  if (text == "-")
+    return report;
   while (!text.empty()) {
     const std::size_t comma = text.find(',');
     const std::string_view pair = text.substr(0, comma);
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) Bad("stats", pair, "a name:value pair");
+    if (colon == std::string_view::npos)
+      Bad("stats", pair, "a name:value pair");
     const std::string_view name = pair.substr(0, colon);
     const double value = ParseNumber("stats", pair.substr(colon + 1));
-    if (name == "busy_reqs") report.in_work = value;
-    if (name == "pending") report.waiting = value;
-    if (name == "cpu_share") report.cpu_share = value;
-    if (name == "svc_ms") report.service_ms = value;
-    if (name == "served_ps") report.served_per_s = value;
-    if (name == "failed_ps") report.errors_per_s = value;
-    if (name == "x0") report.free_slots = value;
+    if (name == "busy_reqs")
+      report.in_work = value;
+    if (name == "pending")
+      report.waiting = value;
+    if (name == "cpu_share")
+      report.cpu_share = value;
+    if (name == "svc_ms")
+      report.service_ms = value;
+    if (name == "served_ps")
+      report.served_per_s = value;
+    if (name == "failed_ps")
+      report.errors_per_s = value;
+    if (name == "x0")
+      report.free_slots = value;
   }
   return report;
 }
@@ -117,11 +139,14 @@
     Bad(at + "dedupScope", scope, "all, zone or cell");
   }
   const auto kind = ItemOf(SplitList(line.TextOr("familyInfo.classKind", "")), i);
-  if (kind) c.kind = ParseAs<int>("familyInfo.classKind", *kind, "an integer");
+  if (kind)
+    c.kind = ParseAs<int>("familyInfo.classKind", *kind, "an integer");
   const auto priority = ItemOf(SplitList(line.TextOr("familyInfo.classPriority", "")), i);
-  if (priority) c.priority = ParseAs<int>("familyInfo.classPriority", *priority, "an integer");
+  if (priority)
+    c.priority = ParseAs<int>("familyInfo.classPriority", *priority, "an integer");
   const auto stretch = ItemOf(SplitList(line.TextOr("familyInfo.classStretch", "")), i);
-  if (stretch) c.stretch = ParseNumber("familyInfo.classStretch", *stretch);
+  if (stretch)
+    c.stretch = ParseNumber("familyInfo.classStretch", *stretch);
   c.stretch = line.NumberOr(at + "aimStretch", c.stretch);
   return c;
 }
@@ -134,7 +159,8 @@
     Begin("forward");
     Field("req", static_cast<std::uint64_t>(a.request));
     Field("executor", a.worker);
-    if (a.give_up_at != 0) Field("stopAt", a.give_up_at);
+    if (a.give_up_at != 0)
+      Field("stopAt", a.give_up_at);
   }
   void operator()(const Cancel& a) {
     Begin("stop_attempt");
@@ -144,7 +170,8 @@
   void operator()(const Refuse& a) {
     Begin("shed");
     Field("req", static_cast<std::uint64_t>(a.request));
-    if (a.retry_after > 0) Field("notBeforeFor", a.retry_after);
+    if (a.retry_after > 0)
+      Field("notBeforeFor", a.retry_after);
   }
   void operator()(const Fail& a) {
     Begin("lose");
@@ -198,7 +225,8 @@
 }  // namespace
 
 Line::Line(std::string_view text) {
-  if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
+  if (!text.empty() && text.back() == '\r')
+    text.remove_suffix(1);
   bool first = true;
   while (true) {
     const std::size_t tab = text.find('\t');
@@ -211,14 +239,16 @@
       throw WireError("part '" + std::string(part) + "' of " + std::string(tag_) + " is not name=value");
     }
     first = false;
-    if (tab == std::string_view::npos) return;
+    if (tab == std::string_view::npos)
+      return;
     text.remove_prefix(tab + 1);
   }
 }
 
 std::string_view Line::Find(std::string_view name) const {
   for (const auto& [key, value] : parts_) {
-    if (key == name) return value;
+    if (key == name)
+      return value;
   }
   return {};
 }
@@ -237,7 +267,8 @@
 
 std::int64_t Line::Int(std::string_view name) const {
   const auto value = ParseAs<std::int64_t>(name, Text(name), "an integer");
-  if (value < 0) Bad(name, Text(name), "zero or more");
+  if (value < 0)
+    Bad(name, Text(name), "zero or more");
   return value;
 }
 
@@ -259,14 +290,16 @@
   birth.seed = ParseAs<std::uint64_t>("nonce64", line.Text("nonce64"), "an integer");
   Settings& s = birth.settings;
   const auto classes = static_cast<std::size_t>(line.IntOr("grades.count", 0));
-  for (std::size_t i = 0; i < classes; ++i) s.classes.push_back(ParseClass(line, i));
+  for (std::size_t i = 0; i < classes; ++i)
+    s.classes.push_back(ParseClass(line, i));
   const auto tenants = static_cast<std::size_t>(line.IntOr("tenants.count", 0));
   for (std::size_t i = 0; i < tenants; ++i) {
     const std::string at = "tenants." + std::to_string(i) + ".";
     TenantSettings& t = s.tenants.emplace_back();
     t.name = line.Text(at + "name");
     t.share = line.NumberOr(at + "share", t.share);
-    if (line.Has(at + "quotaPerS")) t.quota_per_s = line.NumberOr(at + "quotaPerS", 0.0);
+    if (line.Has(at + "quotaPerS"))
+      t.quota_per_s = line.NumberOr(at + "quotaPerS", 0.0);
   }
   s.kinds = SplitList(line.TextOr("machineTypes", ""));
   s.zones = SplitList(line.TextOr("zones", ""));
@@ -278,8 +311,10 @@
   s.tells_start = line.BoolOr("familyInfo.tellsStart", s.tells_start);
   s.progress = line.IntOr("familyInfo.progress", s.progress);
   const std::string_view reports = line.TextOr("report.how", "silent");
-  if (reports == "piggyback") s.reports = Settings::Reports::kWithAnswers;
-  if (reports == "pull") s.reports = Settings::Reports::kProbesOnly;
+  if (reports == "piggyback")
+    s.reports = Settings::Reports::kWithAnswers;
+  if (reports == "pull")
+    s.reports = Settings::Reports::kProbesOnly;
   s.probes = line.BoolOr("limits.probes", s.probes);
   s.cancel = line.BoolOr("limits.cancel", s.cancel);
   s.second_copies = line.BoolOr("limits.secondCopies", s.second_copies);
@@ -342,12 +377,15 @@
   arrival.request = ParseRequest(line);
   arrival.klass = line.Text("class");
   arrival.tenant = line.TextOr("userGroup", "");
-  if (line.Has("partitionKey")) arrival.key = static_cast<std::uint64_t>(line.Int("partitionKey"));
+  if (line.Has("partitionKey"))
+    arrival.key = static_cast<std::uint64_t>(line.Int("partitionKey"));
   arrival.time_left = line.Int("ttl");
-  if (line.Has("work")) arrival.work = line.Int("work");
+  if (line.Has("work"))
+    arrival.work = line.Int("work");
   const double slots = line.NumberOr("needs", 1.0);
   constexpr double kMostSlots = 1e6;
-  if (slots < 0.0 || slots > kMostSlots) Bad("needs", line.Text("needs"), "a number of slots");
+  if (slots < 0.0 || slots > kMostSlots)
+    Bad("needs", line.Text("needs"), "a number of slots");
   arrival.slots = std::max(1, static_cast<int>(std::ceil(slots)));
   arrival.is_retry = line.BoolOr("retry", false);
   return arrival;
--- a/src/pulleyrouter_wire/host.cpp
+++ b/src/pulleyrouter_wire/host.cpp
@@ -20,17 +20,21 @@
   // Serves one batch; false at the end of input.
   bool ServeBatch() {
     do {
-      if (!NextLine()) return false;
+      if (!NextLine())
+        return false;
     } while (text_.empty());
     const Line opening(text_);
-    if (opening.tag() != "turn") throw WireError("'" + std::string(opening.tag()) + "' outside a batch");
+    if (opening.tag() != "turn")
+      throw WireError("'" + std::string(opening.tag()) + "' outside a batch");
     now_ = opening.Int("atTime");
     const std::int64_t serial = opening.Int("serial");
     reply_.clear();
     while (true) {
-      if (!NextLine()) throw WireError("batch " + std::to_string(serial) + " is truncated");
+      if (!NextLine())
+        throw WireError("batch " + std::to_string(serial) + " is truncated");
       const Line line(text_);
-      if (line.tag() == "end") break;
+      if (line.tag() == "end")
+        break;
       ServeEvent(line);
     }
     reply_.append("ready\tserial=").append(std::to_string(serial)).append("\n");
@@ -43,7 +47,8 @@
 
  private:
   bool NextLine() {
-    if (!std::getline(in_, text_)) return false;
+    if (!std::getline(in_, text_))
+      return false;
     ++line_number_;
     return true;
   }
@@ -87,9 +92,11 @@
     list.form = ParseListForm(line);
     const std::int64_t entries = line.IntOr("hosts", 0);
     for (std::int64_t i = 0; i < entries; ++i) {
-      if (!NextLine()) throw WireError("a worker list is truncated");
+      if (!NextLine())
+        throw WireError("a worker list is truncated");
       const Line entry(text_);
-      if (entry.tag() != "m") throw WireError("'" + std::string(entry.tag()) + "' inside a worker list");
+      if (entry.tag() != "m")
+        throw WireError("'" + std::string(entry.tag()) + "' inside a worker list");
       list.workers.push_back(ParseWorker(entry));
     }
     return list;
@@ -97,10 +104,12 @@
 
   void Handle(std::int64_t who, Event event) {
     const auto found = instances_.find(who);
-    if (found == instances_.end()) throw WireError("field who: no instance " + std::to_string(who));
+    if (found == instances_.end())
+      throw WireError("field who: no instance " + std::to_string(who));
     actions_.clear();
     Guard(who, [&] { found->second->Handle(now_, event, &actions_); });
-    for (const Action& action : actions_) WriteAction(who, action, &reply_);
+    for (const Action& action : actions_)
+      WriteAction(who, action, &reply_);
   }
 
   template <typename Body>
--- a/src/snmp/agent.cpp
+++ b/src/snmp/agent.cpp
@@ -34,7 +34,8 @@
 
 ObjectId BelowRoot(const netsnmp_variable_list* var) {
   ObjectId id;
-  for (std::size_t i = kRootLength; i < var->name_length; ++i) id.push_back(var->name[i]);
+  for (std::size_t i = kRootLength; i < var->name_length; ++i)
+    id.push_back(var->name[i]);
   return id;
 }
 
@@ -56,7 +57,8 @@
            netsnmp_request_info* requests) {
   const ObjectMap objects = now_standing();
   for (netsnmp_request_info* request = requests; request != nullptr; request = request->next) {
-    if (request->processed != 0) continue;
+    if (request->processed != 0)
+      continue;
     netsnmp_variable_list* var = request->requestvb;
     if (info->mode == MODE_GET) {
       const auto found = objects.find(BelowRoot(var));
@@ -69,7 +71,8 @@
       // What asks from before the root begins at its first object; what is left untouched goes on elsewhere.
       const bool before = snmp_oid_compare(var->name, var->name_length, kRoot, kRootLength) < 0;
       const auto next = before ? objects.begin() : objects.upper_bound(BelowRoot(var));
-      if (next == objects.end()) continue;
+      if (next == objects.end())
+        continue;
       std::vector<oid> name(kRoot, kRoot + kRootLength);
       name.insert(name.end(), next->first.begin(), next->first.end());
       snmp_set_var_objid(var, name.data(), name.size());
--- a/src/upgrade/ban_list.cpp
+++ b/src/upgrade/ban_list.cpp
@@ -17,12 +17,15 @@
 
 std::optional<BanList> DecodeBans(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object() || json.value("format", Json()) != kFormat) return std::nullopt;
+  if (!json.is_object() || json.value("format", Json()) != kFormat)
+    return std::nullopt;
   const auto workers = json.find("workers");
-  if (workers == json.end() || !workers->is_array()) return std::nullopt;
+  if (workers == json.end() || !workers->is_array())
+    return std::nullopt;
   BanList bans;
   for (const Json& worker : *workers) {
-    if (!worker.is_string()) return std::nullopt;
+    if (!worker.is_string())
+      return std::nullopt;
     bans.insert(worker.get<std::string>());
   }
   return bans;
--- a/src/upgrade/descriptor_channel.cpp
+++ b/src/upgrade/descriptor_channel.cpp
@@ -23,7 +23,8 @@
 std::optional<sockaddr_un> AddressOf(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  if (path.size() >= sizeof(address.sun_path)) return std::nullopt;
+  if (path.size() >= sizeof(address.sun_path))
+    return std::nullopt;
   std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
   return address;
 }
@@ -31,7 +32,8 @@
 std::vector<int> DescriptorsOf(msghdr* header) {
   std::vector<int> descriptors;
   for (cmsghdr* c = CMSG_FIRSTHDR(header); c != nullptr; c = CMSG_NXTHDR(header, c)) {
-    if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
+    if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS)
+      continue;
     descriptors.resize((c->cmsg_len - CMSG_LEN(0)) / sizeof(int));
     std::memcpy(descriptors.data(), CMSG_DATA(c), descriptors.size() * sizeof(int));
   }
@@ -42,7 +44,8 @@
 
 DescriptorSender::DescriptorSender(const std::string& path) {
   const auto address = AddressOf(path);
-  if (!address) return;
+  if (!address)
+    return;
   fd_ = socket(AF_UNIX, kKinds, 0);
   const int size = static_cast<int>(2 * kMostMessage);
   setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
@@ -51,7 +54,8 @@
 }
 
 DescriptorSender::~DescriptorSender() {
-  if (fd_ >= 0) close(fd_);
+  if (fd_ >= 0)
+    close(fd_);
 }
 
 bool DescriptorSender::Send(std::string_view message, const std::vector<int>& descriptors) {
@@ -76,16 +80,19 @@
 DescriptorReceiver::DescriptorReceiver(event_base* base, const std::string& path, Received received)
     : base_(base), path_(path), received_(std::move(received)) {
   const auto address = AddressOf(path);
-  if (!address) throw std::runtime_error(path + " is longer than a socket's path can be");
+  if (!address)
+    throw std::runtime_error(path + " is longer than a socket's path can be");
   const int fd = socket(AF_UNIX, kKinds, 0);
   if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof(*address)) != 0) {
     const std::string why = std::strerror(errno);
-    if (fd >= 0) close(fd);
+    if (fd >= 0)
+      close(fd);
     throw std::runtime_error("cannot listen on " + path + ": " + why);
   }
   listener_.reset(
       evconnlistener_new(base, &DescriptorReceiver::OnAccept, this, LEV_OPT_CLOSE_ON_FREE, 8, fd));
-  if (listener_ == nullptr) throw std::runtime_error("cannot listen on " + path);
+  if (listener_ == nullptr)
+    throw std::runtime_error("cannot listen on " + path);
 }
 
 DescriptorReceiver::~DescriptorReceiver() {
@@ -106,7 +113,8 @@
 
 void DescriptorReceiver::OnReadable(evutil_socket_t fd, short, void* self) {
   auto* receiver = static_cast<DescriptorReceiver*>(self);
-  if (receiver->ReceiveOne(fd)) return;
+  if (receiver->ReceiveOne(fd))
+    return;
   receiver->senders_.erase(fd);
   close(fd);
 }
@@ -121,8 +129,10 @@
   header.msg_control = control.data();
   header.msg_controllen = control.size();
   const ssize_t size = recvmsg(fd, &header, MSG_CMSG_CLOEXEC);
-  if (size < 0) return errno == EAGAIN || errno == EINTR;
-  if (size == 0) return false;
+  if (size < 0)
+    return errno == EAGAIN || errno == EINTR;
+  if (size == 0)
+    return false;
   received_(std::string_view(message).substr(0, static_cast<std::size_t>(size)), DescriptorsOf(&header));
   return true;
 }
--- a/src/upgrade/job_codec.cpp
+++ b/src/upgrade/job_codec.cpp
@@ -48,9 +48,12 @@
                {"may_have_run", t.may_have_run},
                {"keep_alive", t.keep_alive},
                {"head_only", t.head_only}};
-  if (job.subject) json["subject"] = *job.subject;
-  if (job.work) json["work"] = *job.work;
-  if (t.running) json["running"] = EncodeRunning(*t.running);
+  if (job.subject)
+    json["subject"] = *job.subject;
+  if (job.work)
+    json["work"] = *job.work;
+  if (t.running)
+    json["running"] = EncodeRunning(*t.running);
   const std::vector<std::uint8_t> bytes = Json::to_msgpack(json);
   return {bytes.begin(), bytes.end()};
 }
@@ -58,7 +61,8 @@
 std::optional<TransferredJob> DecodeJob(std::string_view bytes) {
   try {
     const Json json = Json::from_msgpack(bytes.begin(), bytes.end());
-    if (json.at("format") != kFormat) return std::nullopt;
+    if (json.at("format") != kFormat)
+      return std::nullopt;
     TransferredJob t;
     Job& job = t.job;
     job.id = json.at("id").get<std::string>();
@@ -72,12 +76,15 @@
     job.time_left = json.at("time_left").get<Micros>();
     job.slots = json.at("slots").get<int>();
     job.is_retry = json.at("retry").get<bool>();
-    if (json.contains("subject")) job.subject = json.at("subject").get<std::uint64_t>();
-    if (json.contains("work")) job.work = json.at("work").get<Micros>();
+    if (json.contains("subject"))
+      job.subject = json.at("subject").get<std::uint64_t>();
+    if (json.contains("work"))
+      job.work = json.at("work").get<Micros>();
     t.may_have_run = json.at("may_have_run").get<bool>();
     t.keep_alive = json.at("keep_alive").get<bool>();
     t.head_only = json.at("head_only").get<bool>();
-    if (json.contains("running")) t.running = DecodeRunning(json.at("running"));
+    if (json.contains("running"))
+      t.running = DecodeRunning(json.at("running"));
     return t;
   } catch (const Json::exception&) {
     return std::nullopt;
--- a/src/upgrade/shared_folder.cpp
+++ b/src/upgrade/shared_folder.cpp
@@ -31,7 +31,8 @@
  public:
   OpenFile(const fs::path& path, int flags) : fd_(open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
   ~OpenFile() {
-    if (fd_ >= 0) close(fd_);
+    if (fd_ >= 0)
+      close(fd_);
   }
   OpenFile(const OpenFile&) = delete;
   OpenFile& operator=(const OpenFile&) = delete;
@@ -62,7 +63,8 @@
   std::error_code error;
   fs::create_directories(folder_, error);
   OpenFile file(folder_ / own_, O_RDWR | O_CREAT | O_EXCL);
-  if (!file.opened() || !file.Lock(LOCK_EX | LOCK_NB)) Throw("cannot keep", folder_ / own_);
+  if (!file.opened() || !file.Lock(LOCK_EX | LOCK_NB))
+    Throw("cannot keep", folder_ / own_);
   own_fd_ = file.Release();
 }
 
@@ -83,7 +85,8 @@
 
 OtherProcesses SharedFolder::Count(bool listening_only) const {
   OtherProcesses others;
-  for (const std::string& name : Present(listening_only)) ++(name < own_ ? others.older : others.newer);
+  for (const std::string& name : Present(listening_only))
+    ++(name < own_ ? others.older : others.newer);
   return others;
 }
 
@@ -92,7 +95,8 @@
   std::error_code error;
   for (fs::directory_iterator at(folder_, error), end; !error && at != end; at.increment(error)) {
     const std::string name = at->path().filename().string();
-    if (!name.starts_with(kProcess) || name == own_) continue;
+    if (!name.starts_with(kProcess) || name == own_)
+      continue;
     std::error_code ignored;
     if (!IsHeld(at->path())) {  // of one that was killed
       fs::remove(at->path(), ignored);
@@ -133,7 +137,8 @@
   std::error_code error;
   // Before the text: what is written in between is read again.
   const auto written = fs::last_write_time(folder_ / kBans, error);
-  if (error) return BanList{};
+  if (error)
+    return BanList{};
   std::ifstream file(folder_ / kBans);
   std::ostringstream text;
   text << file.rdbuf();
@@ -143,15 +148,18 @@
 
 BanList SharedFolder::ChangeBans(const std::function<void(BanList*)>& change) {
   const OpenFile lock(folder_ / kBansLock, O_RDWR | O_CREAT);
-  if (!lock.opened() || !lock.Lock(LOCK_EX)) Throw("cannot lock", folder_ / kBansLock);
+  if (!lock.opened() || !lock.Lock(LOCK_EX))
+    Throw("cannot lock", folder_ / kBansLock);
   BanList bans = ReadBans().value_or(BanList{});
   change(&bans);
   const fs::path fresh = folder_ / (own_ + ".bans");
   std::ofstream file(fresh, std::ios::trunc);
   file << EncodeBans(bans);
   file.close();
-  if (!file) Throw("cannot write", fresh);
-  if (std::rename(fresh.c_str(), (folder_ / kBans).c_str()) != 0) Throw("cannot replace", folder_ / kBans);
+  if (!file)
+    Throw("cannot write", fresh);
+  if (std::rename(fresh.c_str(), (folder_ / kBans).c_str()) != 0)
+    Throw("cannot replace", folder_ / kBans);
   return bans;
 }
 
--- a/tests/budgets/budgets_test.cpp
+++ b/tests/budgets/budgets_test.cpp
@@ -27,11 +27,13 @@
   pcg32 random(7);
   for (int round = 0; round < 2'000; ++round) {
     std::vector<Claim> claims(1 + random(40));
-    for (Claim& c : claims) c = {static_cast<Units>(random(1'000'000)), random(300)};
+    for (Claim& c : claims)
+      c = {static_cast<Units>(random(1'000'000)), random(300)};
     const Units whole = random(5'000'000), floors = random(1'000);
     const std::vector<Units> shares = Divide(whole, floors, claims);
     CHECK(std::accumulate(shares.begin(), shares.end(), Units{0}) <= whole);
-    for (const Units share : shares) CHECK(share >= 0);
+    for (const Units share : shares)
+      CHECK(share >= 0);
   }
 }
 
@@ -44,7 +46,8 @@
   const Answer answer{1, 7, 9, kSecond, {{5, 6, true}}};
   REQUIRE(Decode(Encode(answer)));
   CHECK(Encode(*Decode(Encode(answer))) == Encode(answer));
-  for (std::size_t n = 0; n < bytes.size(); ++n) CHECK_FALSE(Decode(bytes.substr(0, n)));
+  for (std::size_t n = 0; n < bytes.size(); ++n)
+    CHECK_FALSE(Decode(bytes.substr(0, n)));
   CHECK_FALSE(Decode(Encode(Ask{7, 9, 11, 100, false, {{1, -2, 3, 4}}})));
   CHECK_FALSE(Decode(Encode(Ask{7, 9, 11, 100, false, {{1, Units{1} << 60, 3, 4}}})));
 }
@@ -89,14 +92,16 @@
     std::vector<PurseEffect> effects;
     purse->Handle(now, std::move(event), &effects);
     for (PurseEffect& effect : effects) {
-      if (auto* send = std::get_if<SendAsk>(&effect)) asks.push_back(send->ask);
+      if (auto* send = std::get_if<SendAsk>(&effect))
+        asks.push_back(send->ask);
     }
   }
   void Tell(Grantor* grantor, GrantorEvent event) {
     std::vector<GrantorEffect> effects;
     grantor->Handle(now, std::move(event), &effects);
     for (GrantorEffect& effect : effects) {
-      if (auto* send = std::get_if<SendAnswer>(&effect)) answers.push_back(send->answer);
+      if (auto* send = std::get_if<SendAnswer>(&effect))
+        answers.push_back(send->answer);
     }
   }
   Purse Make(const std::string& name, std::uint64_t epoch, int seat) {
@@ -179,8 +184,10 @@
   d.Tell(&holder, AskHeard{"a", d.asks.back(), 5});
   d.Tell(&a, AnswerHeard{"x", d.answers.back()});
   std::int64_t used = 0;
-  while (!a.Take(d.now, "spend")) ++used;
-  while (!a.Take(d.now, "slots")) continue;
+  while (!a.Take(d.now, "spend"))
+    ++used;
+  while (!a.Take(d.now, "slots"))
+    continue;
   CHECK(used > 300);
   const Units slots_out = holder.Out(kSlots), spend_out = holder.Out(kSpend);
   d.now += kSecond;
@@ -210,7 +217,8 @@
     d.Tell(&a, HolderIs{"y", term});
     d.Tell(&fresh, AskHeard{"a", d.asks.back(), term});
     REQUIRE(d.answers.back().lines[kMail].renewal);
-    if (!in_time) d.now += 1'000 * kMillisecond;  // its way took long
+    if (!in_time)
+      d.now += 1'000 * kMillisecond;  // its way took long
     const Units careful = Careful(d.s.budgets[kMail], d.s.instances);
     d.Tell(&a, AnswerHeard{"y", d.answers.back()});
     CHECK((a.Allowed(d.now, "mail") > careful) == in_time);
@@ -267,7 +275,8 @@
   Started f(Of(12));
   f.offered.assign(12, 40);
   CHECK(f.Go(6 * kSecond));
-  for (int i = 6; i < 12; ++i) f.world.Kill(i);
+  for (int i = 6; i < 12; ++i)
+    f.world.Kill(i);
   CHECK(f.Part(kMail) < 0.65);
   CHECK_MESSAGE(f.Go(9 * kSecond), f.broken);
   CHECK(f.Part(kMail) > 0.9);
@@ -278,7 +287,8 @@
   Started f(o);
   CHECK_MESSAGE(f.Go(8 * kSecond), f.broken);
   CHECK(f.Part(kMail) > 0.95);
-  for (int i = 0; i < 300; ++i) CHECK(f.PartOf(i) > 0.5 / 300);
+  for (int i = 0; i < 300; ++i)
+    CHECK(f.PartOf(i) > 0.5 / 300);
 }
 
 TEST_CASE("all demand comes to one of 300, and it has nearly all") {
@@ -330,13 +340,16 @@
   Fleet f(o);
   std::vector<ErrorCode> said;
   f.world.on_error = [&](int i, const Error& e) {
-    if (i == 3) said.push_back(e.code);
+    if (i == 3)
+      said.push_back(e.code);
   };
-  for (int i = 0; i < 4; ++i) f.world.Begin(i);
+  for (int i = 0; i < 4; ++i)
+    f.world.Begin(i);
   CHECK(f.RunUntil(20 * kSecond));
   CHECK(said == std::vector<ErrorCode>{ErrorCode::kNoSeat});
   CHECK(f.served[3] == 0);
-  for (int i = 0; i < 3; ++i) CHECK(f.served[i] > 5);
+  for (int i = 0; i < 3; ++i)
+    CHECK(f.served[i] > 5);
   Settings s = o.settings;
   s.name = "n3", s.seat = 4;
   Purse above(s);
--- a/tests/budgets/fleet.h
+++ b/tests/budgets/fleet.h
@@ -40,8 +40,10 @@
   bool RunUntil(Micros until) {
     while (world.now() < until && broken.empty()) {
       world.RunUntil(std::min(until, world.now() + kTrafficStep));
-      for (int i = 0; i < world.size(); ++i) Offer(i);
-      if (world.now() >= look_at_) Look(), look_at_ = world.now() + kLookEach;
+      for (int i = 0; i < world.size(); ++i)
+        Offer(i);
+      if (world.now() >= look_at_)
+        Look(), look_at_ = world.now() + kLookEach;
     }
     return broken.empty();
   }
@@ -70,7 +72,8 @@
   using Life = std::pair<int, int>;
 
   void Break(const std::string& what) {
-    if (!broken.empty()) return;
+    if (!broken.empty())
+      return;
     std::ostringstream text;
     text << "at " << static_cast<double>(world.now()) / kSecond << " s: " << what;
     broken = text.str();
@@ -82,16 +85,21 @@
   }
 
   void Offer(int i) {
-    if (!world.Runs(i) || world.Stands(i)) return;
+    if (!world.Runs(i) || world.Stands(i))
+      return;
     const double mean = offered[i] * static_cast<double>(kTrafficStep) / kSecond;
     for (int n = Drawn(mean); n > 0; --n) {
-      if (!world.Take(i, kMail)) continue;
+      if (!world.Take(i, kMail))
+        continue;
       ++served[i];
-      if (!mail_.Start(world.now())) Break("more starts in a stretch than the rate and its burst");
+      if (!mail_.Start(world.now()))
+        Break("more starts in a stretch than the rate and its burst");
     }
     for (int n = Drawn(mean); n > 0; --n) {
-      if (!world.Take(i, kSlots)) continue;
-      if (!slots_.Begin()) Break("more slots in use at once than there are");
+      if (!world.Take(i, kSlots))
+        continue;
+      if (!slots_.Begin())
+        Break("more slots in use at once than there are");
       const Life life{i, world.life(i)};
       ++used_[life];
       // A slot is in use at a worker; nothing that happens to who began it ends it sooner.
@@ -105,23 +113,28 @@
     }
     for (int n = Drawn(mean); n > 0; --n) {
       const std::int64_t count = 1 + static_cast<std::int64_t>(world.random()(3));
-      if (!world.Take(i, kSpend, count)) continue;
+      if (!world.Take(i, kSpend, count))
+        continue;
       const auto window = static_cast<std::uint64_t>(world.LocalTime(i) / budgets_[kSpend].window);
       spent_[{window, {i, world.life(i)}}] += count;
-      if (!spend_.Use(window, count)) Break("more used in a window than there is");
+      if (!spend_.Use(window, count))
+        Break("more used in a window than there is");
     }
   }
 
   void Look() {
-    if (Allowed(kMail) > Whole(kMail)) Break("all together may start more than the rate");
+    if (Allowed(kMail) > Whole(kMail))
+      Break("all together may start more than the rate");
     double slots = 0;
     std::map<Life, std::int64_t> used;
     for (const auto& [life, count] : used_) {
-      if (count > 0) used[life] = count;
+      if (count > 0)
+        used[life] = count;
     }
     std::map<std::uint64_t, double> spend;
     for (int i = 0; i < world.size(); ++i) {
-      if (!world.Runs(i)) continue;
+      if (!world.Runs(i))
+        continue;
       const Life life{i, world.life(i)};
       const auto local = world.LocalTime(i);
       const auto may = [&](std::size_t b) {
@@ -132,8 +145,10 @@
       const auto window = static_cast<std::uint64_t>(local / budgets_[kSpend].window);
       spend[window] += static_cast<double>(std::max(may(kSpend) - spent_[{window, life}], std::int64_t{0}));
     }
-    for (const auto& [life, count] : used) slots += static_cast<double>(count);
-    if (slots > Whole(kSlots)) Break("all together have or use more slots than there are");
+    for (const auto& [life, count] : used)
+      slots += static_cast<double>(count);
+    if (slots > Whole(kSlots))
+      Break("all together have or use more slots than there are");
     for (const auto& [window, left] : spend) {
       if (left + static_cast<double>(spend_.used(window)) > Whole(kSpend))
         Break("all together may use more in this window than there is");
--- a/tests/budgets/search.cpp
+++ b/tests/budgets/search.cpp
@@ -27,7 +27,8 @@
     o.network.loss = kLoss[random_(5)];
     o.network.doubled = random_(2) == 0 ? 0.0 : 0.1;
     constexpr Micros kSlow[] = {300 * kMillisecond, 2 * kSecond, 6 * kSecond};
-    if (random_(2) == 0) o.network.slow = 0.05, o.network.slow_most = kSlow[random_(3)];
+    if (random_(2) == 0)
+      o.network.slow = 0.05, o.network.slow_most = kSlow[random_(3)];
     o.drift = 0.01;
     o.clocks_apart = 500 * kMillisecond;
     o.lease = 2 * kSecond;
@@ -36,7 +37,8 @@
     o.settings.budgets = SmallBudgets(n_);
     fleet_ = std::make_unique<Fleet>(o);
     for (int i = 0; i <= n_; ++i) {
-      if (random_(4) == 0) fleet_->world.SetClock(i, random_(2) == 0 ? 1.01 : 0.99);
+      if (random_(4) == 0)
+        fleet_->world.SetClock(i, random_(2) == 0 ? 1.01 : 0.99);
     }
   }
 
@@ -47,14 +49,16 @@
         world.At(static_cast<Micros>(random_(2'000'000)), [this, i] { fleet_->world.Begin(i); });
     }
     Plan();
-    if (fleet_->RunUntil(kTroubles)) Calm();
+    if (fleet_->RunUntil(kTroubles))
+      Calm();
     return fleet_->broken;
   }
   const Fleet& fleet() const { return *fleet_; }
 
  private:
   void Say(const std::string& what) const {
-    if (tell_) std::printf("%9.3f  %s\n", static_cast<double>(fleet_->world.now()) / kSecond, what.c_str());
+    if (tell_)
+      std::printf("%9.3f  %s\n", static_cast<double>(fleet_->world.now()) / kSecond, what.c_str());
   }
 
   void Plan() {
@@ -70,7 +74,8 @@
           break;
         case 1:
           world.At(at, [this, i] {
-            if (!fleet_->world.Runs(i)) return;
+            if (!fleet_->world.Runs(i))
+              return;
             Kill(i);
             Begin(i);
           });
@@ -94,7 +99,8 @@
         case 4: {
           std::set<int> side;
           for (int j = 0; j <= n_; ++j) {
-            if (random_(2) == 0) side.insert(j);
+            if (random_(2) == 0)
+              side.insert(j);
           }
           world.At(at, [this, side] {
             Say("split");
@@ -117,7 +123,8 @@
         }
         case 6:
           world.At(at, [this, i] {
-            if (!fleet_->world.Runs(i) || fleet_->world.Stands(i)) return;
+            if (!fleet_->world.Runs(i) || fleet_->world.Stands(i))
+              return;
             Say(fleet_->world.name(i) + " gives back");
             fleet_->world.GiveBack(i);
           });
@@ -140,7 +147,8 @@
     fleet_->world.Kill(i);
   }
   void Begin(int i) {
-    if (fleet_->world.Runs(i)) return;
+    if (fleet_->world.Runs(i))
+      return;
     Say(fleet_->world.name(i) + " begins");
     fleet_->world.Begin(i);
   }
@@ -149,16 +157,19 @@
     auto& world = fleet_->world;
     world.Mend();
     world.SetNetwork({});
-    if (!fleet_->RunUntil(kTroubles + 9 * kSecond)) return;  // what is left of the plan
+    if (!fleet_->RunUntil(kTroubles + 9 * kSecond))
+      return;  // what is left of the plan
     for (int i = 0; i <= n_; ++i) {
       world.Resume(i);
-      if (i < n_) Begin(i);
+      if (i < n_)
+        Begin(i);
       fleet_->offered[i] = 40;
     }
     world.Mend();
     Say("calm");
     // A lease, what others may still have, and some asks.
-    if (!fleet_->RunUntil(world.now() + 20 * kSecond)) return;
+    if (!fleet_->RunUntil(world.now() + 20 * kSecond))
+      return;
     if (fleet_->Allowed(kMail) < 0.9 * fleet_->Whole(kMail))
       fleet_->broken = "the rate was not dealt in calm";
     if (fleet_->Allowed(kSlots) < 0.75 * fleet_->Whole(kSlots))
@@ -185,23 +196,28 @@
   app.add_option("--seed", one, "Plays this one and tells what happens");
   app.add_flag("--planted", planted, "A defect is built in: succeed if it is found");
   CLI11_PARSE(app, argc, argv);
-  if (one) first = *one, count = 1;
+  if (one)
+    first = *one, count = 1;
   std::uint64_t failed = 0;
   std::int64_t starts = 0;
   double burst = 0;
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     tests::Run run(seed, one.has_value());
     const std::string broken = run.Play();
-    for (const std::int64_t served : run.fleet().served) starts += served;
+    for (const std::int64_t served : run.fleet().served)
+      starts += served;
     burst = std::max(burst, run.fleet().WorstBurst());
-    if (broken.empty()) continue;
+    if (broken.empty())
+      continue;
     ++failed;
     std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), broken.c_str());
-    if (planted) break;
+    if (planted)
+      break;
   }
   std::printf("%llu seeds from %llu: %llu broke a promise; %lld starts, largest burst %.1f\n",
               static_cast<unsigned long long>(count), static_cast<unsigned long long>(first),
               static_cast<unsigned long long>(failed), static_cast<long long>(starts), burst);
-  if (planted) return failed > 0 ? 0 : 1;
+  if (planted)
+    return failed > 0 ? 0 : 1;
   return failed > 0 ? 1 : 0;
 }
--- a/tests/cluster/duties_test.cpp
+++ b/tests/cluster/duties_test.cpp
@@ -28,12 +28,15 @@
   constexpr int kWorkers = 3'000;
   Ownership ownership;
   const auto ignore = [](const std::string&, const std::string&) {};
-  for (int w = 0; w < kWorkers; ++w) ownership.AddWorker("w" + std::to_string(w), ignore);
+  for (int w = 0; w < kWorkers; ++w)
+    ownership.AddWorker("w" + std::to_string(w), ignore);
   CHECK(ownership.OwnerOf("w0") == "");
-  for (const char* name : {"a", "b", "c"}) ownership.SetMember(name, 100, ignore);
+  for (const char* name : {"a", "b", "c"})
+    ownership.SetMember(name, 100, ignore);
   const auto before = Owners(ownership, kWorkers);
   std::map<std::string, int> shares;
-  for (const auto& [worker, owner] : before) ++shares[owner];
+  for (const auto& [worker, owner] : before)
+    ++shares[owner];
   // Within five standard deviations of a third.
   for (const auto& [owner, share] : shares)
     CHECK(std::abs(share - 1'000) < 5 * std::sqrt(kWorkers * 2.0 / 9));
@@ -48,17 +51,21 @@
   CHECK(Owners(ownership, kWorkers) == before);
   // The order in which members came to be known makes no difference.
   Ownership other;
-  for (const char* name : {"c", "a"}) other.SetMember(name, 100, ignore);
-  for (int w = 0; w < kWorkers; ++w) other.AddWorker("w" + std::to_string(w), ignore);
+  for (const char* name : {"c", "a"})
+    other.SetMember(name, 100, ignore);
+  for (int w = 0; w < kWorkers; ++w)
+    other.AddWorker("w" + std::to_string(w), ignore);
   other.SetMember("b", 100, ignore);
   CHECK(Owners(other, kWorkers) == before);
   // Twice the weight, twice the share of either of the others; none for none.
   other.SetMember("a", 200, ignore);
   shares.clear();
-  for (const auto& [worker, owner] : Owners(other, kWorkers)) ++shares[owner];
+  for (const auto& [worker, owner] : Owners(other, kWorkers))
+    ++shares[owner];
   CHECK(std::abs(shares["a"] - 1'500) < 5 * std::sqrt(kWorkers / 4.0));
   other.SetMember("a", 0, ignore);
-  for (const auto& [worker, owner] : Owners(other, kWorkers)) CHECK(owner != "a");
+  for (const auto& [worker, owner] : Owners(other, kWorkers))
+    CHECK(owner != "a");
 }
 
 class Bench {
@@ -75,7 +82,8 @@
     while (core_.next_due() <= until) {
       now_ = std::max(now_, core_.next_due());
       for (const ProbeEffect& effect : Tell(ProbeTime{})) {
-        if (const auto* start = std::get_if<StartProbe>(&effect)) started.push_back(*start);
+        if (const auto* start = std::get_if<StartProbe>(&effect))
+          started.push_back(*start);
       }
     }
     now_ = until;
@@ -83,7 +91,8 @@
   }
   static int Told(const std::vector<ProbeEffect>& effects) {
     int told = 0;
-    for (const ProbeEffect& effect : effects) told += std::holds_alternative<TellModule>(effect);
+    for (const ProbeEffect& effect : effects)
+      told += std::holds_alternative<TellModule>(effect);
     return told;
   }
   ProbeSharing core_;
@@ -98,7 +107,8 @@
   Bench b(4);
   b.Tell(MemberCame{"a", 100});
   WorkersAre workers;
-  for (int w = 0; w < 40; ++w) workers.workers.emplace_back("w" + std::to_string(w), "x:1");
+  for (int w = 0; w < 40; ++w)
+    workers.workers.emplace_back("w" + std::to_string(w), "x:1");
   b.Tell(workers);
   std::map<std::string, int> probes;
   std::deque<std::uint64_t> out;
@@ -108,7 +118,8 @@
       out.push_back(start.number);
     }
     CHECK(out.size() <= 4);
-    if (step % 3 != 0) continue;
+    if (step % 3 != 0)
+      continue;
     for (std::size_t n = out.size(); n > 0; --n) {
       const std::uint64_t number = out.front();
       out.pop_front();
@@ -141,7 +152,8 @@
   // What is made here after that goes above what was heard, though this clock is behind.
   b.Tell(MemberCame{"a", 100});
   std::vector<StartProbe> started;
-  while (started.empty()) started = b.Wait(10 * kMillisecond);
+  while (started.empty())
+    started = b.Wait(10 * kMillisecond);
   b.now_ = kStart;  // the core's own time does not step back
   CHECK(Bench::Told(b.Tell(ProbeEnded{started.front().number, Outcome::kServed, 9, {}})) == 1);
   CHECK(b.core_.LastOf("w")->origin == "a");
@@ -181,7 +193,8 @@
   CHECK(back->report.free_slots == 3.0);
   CHECK(back->report.cpu_share == 0.5);
   CHECK(!back->report.waiting);
-  for (std::size_t size = 0; size < bytes.size(); ++size) CHECK(!DecodeResult("w", bytes.substr(0, size)));
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    CHECK(!DecodeResult("w", bytes.substr(0, size)));
   const Ballot ballot{7, "n1"};
   const std::vector<LeaseMessage> kinds = {Prepare{ballot},
                                            Promise{ballot, Holder{"n2", 9}, 5},
@@ -195,7 +208,8 @@
     const auto message = DecodeMessage(text);
     REQUIRE(message);
     CHECK(EncodeMessage(*message) == text);
-    for (std::size_t size = 0; size < text.size(); ++size) CHECK(!DecodeMessage(text.substr(0, size)));
+    for (std::size_t size = 0; size < text.size(); ++size)
+      CHECK(!DecodeMessage(text.substr(0, size)));
   }
   CHECK(!DecodeMessage("\xc0"));
 }
@@ -204,7 +218,8 @@
 class Voters {
  public:
   Voters() {
-    for (const char* name : {"a", "b", "c"}) Start(name, 1);
+    for (const char* name : {"a", "b", "c"})
+      Start(name, 1);
   }
   void Start(const std::string& name, std::uint64_t epoch) {
     LeaseSettings s{"duty", name, epoch, {"a", "b", "c"}, 10 * kSecond, 0.01};
@@ -223,19 +238,22 @@
   void Wait(Micros time) {
     for (const Micros until = now_ + time; now_ < until; now_ += 10 * kMillisecond) {
       for (auto& [name, lease] : leases_) {
-        if (!down_.contains(name) && lease.next_due() <= now_) Tell(name, LeaseTime{});
+        if (!down_.contains(name) && lease.next_due() <= now_)
+          Tell(name, LeaseTime{});
       }
       while (!mail_.empty()) {
         const auto [to, heard] = mail_.front();
         mail_.pop_front();
-        if (!down_.contains(to)) Tell(to, heard);
+        if (!down_.contains(to))
+          Tell(to, heard);
       }
     }
   }
   std::set<std::string> Holders() const {
     std::set<std::string> holders;
     for (const auto& [name, lease] : leases_) {
-      if (lease.Holds(now_)) holders.insert(name);
+      if (lease.Holds(now_))
+        holders.insert(name);
     }
     return holders;
   }
@@ -259,7 +277,8 @@
   CHECK(v.leases_.at(first).counters().renewed >= 15);
   v.down_.insert(first);
   const Micros went = v.now_;
-  while (v.Holders().empty() || v.Holders().contains(first)) v.Wait(10 * kMillisecond);
+  while (v.Holders().empty() || v.Holders().contains(first))
+    v.Wait(10 * kMillisecond);
   // Not before the old lease has ended, and soon after.
   CHECK(v.now_ - went <= 12 * kSecond);
   const std::string second = *v.Holders().begin();
@@ -269,7 +288,8 @@
   v.Wait(5 * kSecond);
   v.Tell(second, GiveUp{});
   const Micros given = v.now_;
-  while (v.Holders().empty()) v.Wait(10 * kMillisecond);
+  while (v.Holders().empty())
+    v.Wait(10 * kMillisecond);
   CHECK(v.now_ - given <= 3 * kSecond);
 }
 
@@ -279,7 +299,8 @@
   REQUIRE(v.Holders().size() == 1);
   const std::string holder = *v.Holders().begin();
   for (const char* name : {"a", "b", "c"}) {
-    if (name != holder) v.down_.insert(name);
+    if (name != holder)
+      v.down_.insert(name);
   }
   v.Wait(9'900 * kMillisecond);  // 98 % of the lease from the last renewal at the latest
   CHECK(v.Holders().empty());
@@ -312,7 +333,8 @@
   const Micros restarted = v.now_;
   v.Start(holder, 2);
   CHECK(v.Holders().empty());
-  while (v.Holders().empty()) v.Wait(10 * kMillisecond);
+  while (v.Holders().empty())
+    v.Wait(10 * kMillisecond);
   CHECK(v.now_ - restarted >= 5 * kSecond);
   // One that stood still holds nothing when it goes on, though it has heard of no end.
   const std::string next = *v.Holders().begin();
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -44,7 +44,8 @@
     Tell(PacketCame{from + ":1", Packet{from, kEpoch, std::move(message), std::move(updates), {}}});
   }
   void Meet(std::initializer_list<const char*> names) {
-    for (const char* name : names) Hear(name, {Alive(name)});
+    for (const char* name : names)
+      Hear(name, {Alive(name)});
   }
   static Update Alive(const std::string& name, std::uint32_t turn = 0, std::uint64_t epoch = kEpoch) {
     return {name, name + ":1", {epoch, turn}, State::kAlive, 100, ""};
@@ -90,7 +91,8 @@
   std::string target;
   while (target.empty()) {
     all = b.Wait(100 * kMillisecond);
-    if (const auto pings = Bench::Sent<Ping>(all); !pings.empty()) target = pings.front().second.target;
+    if (const auto pings = Bench::Sent<Ping>(all); !pings.empty())
+      target = pings.front().second.target;
   }
   all = b.Wait(500 * kMillisecond);
   const auto asked = Bench::Sent<PingFor>(all);
@@ -123,7 +125,8 @@
   }
   const auto asked = Bench::Sent<PingFor>(b.Wait(500 * kMillisecond));
   REQUIRE(asked.size() == 3);
-  for (const auto& [to, m] : asked) b.Hear(to.substr(0, 1), {}, Nack{number});
+  for (const auto& [to, m] : asked)
+    b.Hear(to.substr(0, 1), {}, Nack{number});
   b.Hear(asked.front().first.substr(0, 1), {}, Ack{number});
   const auto all = b.Wait(500 * kMillisecond);
   CHECK(Bench::News(all, What::kSuspect, target) == 0);
@@ -135,7 +138,8 @@
   b.Meet({"b", "c", "d", "e"});
   b.Hear("c", {Bench::Say(State::kSuspect, "b", "c")});
   CHECK(b.core_.StateOf("b") == State::kSuspect);
-  for (int again = 0; again < 5; ++again) b.Hear("c", {Bench::Say(State::kSuspect, "b", "c")});
+  for (int again = 0; again < 5; ++again)
+    b.Hear("c", {Bench::Say(State::kSuspect, "b", "c")});
   b.Hear("d", {Bench::Say(State::kSuspect, "b", "d")});
   b.Hear("e", {Bench::Say(State::kSuspect, "b", "e")});
   // Two besides the first: down to the least, four probe intervals.
@@ -205,7 +209,8 @@
   Bench same;
   same.Meet({"b", "c"});
   std::uint64_t digest = 0;
-  for (const auto& [to, compare] : Bench::Sent<Compare>(same.Wait(3 * kSecond))) digest = compare.digest;
+  for (const auto& [to, compare] : Bench::Sent<Compare>(same.Wait(3 * kSecond)))
+    digest = compare.digest;
   REQUIRE(digest != 0);
   b.Hear("b", {}, Compare{digest});
   CHECK(Bench::Sent<Table>(b.effects_).empty());
@@ -228,7 +233,8 @@
   b.Hear("c", {Bench::Say(State::kDead, "b", "c")});
   bool tried = false;
   for (int i = 0; i < 30 && !tried; ++i) {
-    for (const auto& [to, m] : Bench::Sent<Compare>(b.Wait(kSecond))) tried |= to == "b:1";
+    for (const auto& [to, m] : Bench::Sent<Compare>(b.Wait(kSecond)))
+      tried |= to == "b:1";
   }
   CHECK(tried);
   b.Meet({"d", "e", "f"});  // "e" takes the place of the dead, "f" finds none
@@ -252,7 +258,8 @@
   queue.Take(100, 2, &taken);
   CHECK(taken == std::vector<int>{1});
   CHECK(queue.size() == 0);
-  for (const char* key : {"a", "b", "c"}) queue.Put(key, 0, 10);
+  for (const char* key : {"a", "b", "c"})
+    queue.Put(key, 0, 10);
   CHECK(queue.size() == 2);
   CHECK(queue.given_up() == 1);
 }
@@ -283,7 +290,8 @@
     CHECK(back->updates == p.updates);
   }
   const std::string whole = Encode(Rich());
-  for (std::size_t size = 0; size < whole.size(); ++size) CHECK(!Decode(whole.substr(0, size)));
+  for (std::size_t size = 0; size < whole.size(); ++size)
+    CHECK(!Decode(whole.substr(0, size)));
   CHECK(!Decode(whole + "x"));
   pcg32 random(11);
   int read = 0;
@@ -329,7 +337,8 @@
   CHECK(Count(receiver, Dropped::kForged) > 0);
   CHECK(Count(receiver, Dropped::kFormat) == 8);
   CHECK(Count(receiver, Dropped::kKey) > 0);
-  for (std::size_t size = 0; size < next.size(); ++size) CHECK(!receiver.Open(kStart, next.substr(0, size)));
+  for (std::size_t size = 0; size < next.size(); ++size)
+    CHECK(!receiver.Open(kStart, next.substr(0, size)));
   CHECK(Count(receiver, Dropped::kTruncated) == kSealOverhead + 1);
   CHECK(!receiver.Open(kStart, std::string(kMostDatagram + 1, '\x01')));
   CHECK(Count(receiver, Dropped::kTooLong) == 1);
@@ -349,14 +358,17 @@
   Key key{};
   Sealer sender({key}, 1), receiver({key}, 2);
   std::vector<std::string> sealed;
-  for (int i = 0; i < 600; ++i) sealed.push_back(sender.Seal(kStart, std::to_string(i)));
+  for (int i = 0; i < 600; ++i)
+    sealed.push_back(sender.Seal(kStart, std::to_string(i)));
   pcg32 random(3);
   // In blocks of 100, shuffled, each datagram twice.
   for (int block = 0; block < 6; ++block) {
     std::vector<int> order;
-    for (int i = 0; i < 100; ++i) order.insert(order.end(), 2, block * 100 + i);
+    for (int i = 0; i < 100; ++i)
+      order.insert(order.end(), 2, block * 100 + i);
     pcg_extras::shuffle(order.begin(), order.end(), random);
-    for (const int i : order) receiver.Open(kStart, sealed[static_cast<std::size_t>(i)]);
+    for (const int i : order)
+      receiver.Open(kStart, sealed[static_cast<std::size_t>(i)]);
   }
   CHECK(Count(receiver, Dropped::kReplayed) == 600);
   CHECK(!receiver.Open(kStart, sealed[10]));  // far behind: it cannot be told apart from a replay
--- a/tests/cluster/search.cpp
+++ b/tests/cluster/search.cpp
@@ -51,7 +51,8 @@
     constexpr double kLoss[] = {0.0, 0.0, 0.02, 0.05, 0.2};
     o.network.loss = kLoss[random_(5)];
     o.network.doubled = random_(2) == 0 ? 0.0 : 0.05;
-    if (random_(2) == 0) o.network.slow = 0.05, o.network.slow_most = 300 * kMillisecond;
+    if (random_(2) == 0)
+      o.network.slow = 0.05, o.network.slow_most = 300 * kMillisecond;
     o.settings.probing = duties::ProbeSettings{"", 2 * kSecond, kSecond, 32};
     o.settings.exclusive = {"housekeeping"};
     for (int i = 0; i < std::min(members_, random_(2) == 0 ? 3 : 5); ++i)
@@ -60,7 +61,8 @@
     o.settings.most_drift = 0.01;
     settings_ = o.settings;
     cluster_ = std::make_unique<VirtualCluster>(o);
-    for (int i = 0; i < members_; ++i) cluster_->Add();
+    for (int i = 0; i < members_; ++i)
+      cluster_->Add();
     Watch();
   }
 
@@ -73,11 +75,15 @@
       LookAtOwners();
     }
     CalmDown();
-    if (verdict_.broken.empty()) LookAtViews();
-    if (verdict_.broken.empty()) LookAtProbes();
-    if (verdict_.broken.empty()) LookAtLease();
+    if (verdict_.broken.empty())
+      LookAtViews();
+    if (verdict_.broken.empty())
+      LookAtProbes();
+    if (verdict_.broken.empty())
+      LookAtLease();
     for (int i = 0; i < members_; ++i) {
-      if (!cluster_->Runs(i)) continue;
+      if (!cluster_->Runs(i))
+        continue;
       verdict_.takeovers += cluster_->core(i).probing()->counters().takeovers;
       verdict_.deaths_refuted += cluster_->core(i).members().counters().deaths_refuted;
     }
@@ -86,32 +92,37 @@
 
  private:
   void Break(const std::string& what) {
-    if (!verdict_.broken.empty()) return;
+    if (!verdict_.broken.empty())
+      return;
     std::ostringstream text;
     text << "at " << static_cast<double>(cluster_->now()) / kSecond << " s: " << what;
     verdict_.broken = text.str();
   }
   void Say(const std::string& what) const {
-    if (tell_) std::printf("%9.3f  %s\n", static_cast<double>(cluster_->now()) / kSecond, what.c_str());
+    if (tell_)
+      std::printf("%9.3f  %s\n", static_cast<double>(cluster_->now()) / kSecond, what.c_str());
   }
 
   void Watch() {
     cluster_->on_lease = [this](int i, const cluster::LeaseNews& news) {
       Say(cluster_->name(i) + (news.taken ? " takes " : " loses ") + news.duty + " under " +
           std::to_string(news.term));
-      if (!news.taken) return;
+      if (!news.taken)
+        return;
       ++verdict_.leases;
       for (int j = 0; j < members_; ++j) {
         if (j != i && cluster_->Runs(j) &&
             cluster_->core(j).leases().at(news.duty).Holds(cluster_->LocalTime(j)))
           Break(cluster_->name(i) + " and " + cluster_->name(j) + " both hold " + news.duty);
       }
-      if (news.term <= last_term_) Break("a term was not above the one before");
+      if (news.term <= last_term_)
+        Break("a term was not above the one before");
       last_term_ = news.term;
     };
     cluster_->on_result = [this](int i, const duties::ProbeResult& result) {
       duties::Stamp& last = told_[{i, result.worker}];
-      if (result.stamp < last) Break("an old result came after a newer one at " + cluster_->name(i));
+      if (result.stamp < last)
+        Break("an old result came after a newer one at " + cluster_->name(i));
       last = result.stamp;
     };
     cluster_->on_probe = [this](int, const std::string& worker) {
@@ -136,7 +147,8 @@
           break;
         case 1:
           cluster_->At(at, [this, i] {
-            if (!cluster_->Runs(i)) return;
+            if (!cluster_->Runs(i))
+              return;
             Say(cluster_->name(i) + " restarts");
             Forget(i);
             cluster_->Restart(i);
@@ -144,12 +156,14 @@
           break;
         case 2:
           cluster_->At(at, [this, i] {
-            if (Serving() < 2 || !cluster_->Runs(i)) return;
+            if (Serving() < 2 || !cluster_->Runs(i))
+              return;
             Say(cluster_->name(i) + " stands still");
             cluster_->Pause(i);
           });
           cluster_->At(at + lasts, [this, i] {
-            if (!cluster_->Stands(i)) return;
+            if (!cluster_->Stands(i))
+              return;
             Say(cluster_->name(i) + " goes on");
             cluster_->Resume(i);
           });
@@ -157,7 +171,8 @@
         case 3: {
           std::set<int> side;
           for (int j = 0; j < members_; ++j) {
-            if (random_(2) == 0) side.insert(j);
+            if (random_(2) == 0)
+              side.insert(j);
           }
           cluster_->At(at, [this, side] {
             Say("split");
@@ -180,7 +195,8 @@
         }
         case 5:
           cluster_->At(at, [this, i] {
-            if (Serving() < 2 || !cluster_->Runs(i) || cluster_->Stands(i)) return;
+            if (Serving() < 2 || !cluster_->Runs(i) || cluster_->Stands(i))
+              return;
             Say(cluster_->name(i) + " leaves");
             cluster_->Leave(i);
             cluster_->At(cluster_->now() + 400 * kMillisecond, [this, i] { TakeDown(i, "is gone"); });
@@ -196,7 +212,8 @@
 
   int Serving() const {
     int serving = 0;
-    for (int i = 0; i < members_; ++i) serving += cluster_->Runs(i) && !cluster_->Stands(i);
+    for (int i = 0; i < members_; ++i)
+      serving += cluster_->Runs(i) && !cluster_->Stands(i);
     return serving;
   }
   void Forget(int i) {
@@ -204,13 +221,15 @@
       at = at->first.first == i ? told_.erase(at) : std::next(at);
   }
   void TakeDown(int i, const char* how) {
-    if (Serving() < 2 || !cluster_->Runs(i)) return;
+    if (Serving() < 2 || !cluster_->Runs(i))
+      return;
     Say(cluster_->name(i) + " " + how);
     Forget(i);
     cluster_->Kill(i);
   }
   void BringUp(int i) {
-    if (cluster_->Runs(i)) return;
+    if (cluster_->Runs(i))
+      return;
     Say(cluster_->name(i) + " begins");
     cluster_->Begin(i);
   }
@@ -218,7 +237,8 @@
   // A worker has an owner if somebody who runs takes it for its own.
   void LookAtOwners() {
     verdict_.ownerless_bound = OwnerlessBound(settings_.membership, members_);
-    if (cluster_->now() < 3 * kSecond) return;  // until all have begun
+    if (cluster_->now() < 3 * kSecond)
+      return;  // until all have begun
     for (int w = 0; w < 12; ++w) {
       const std::string worker = cluster_->WorkerName(w);
       bool owned = false;
@@ -242,16 +262,19 @@
   void CalmDown() {
     cluster_->Mend();
     for (int i = 0; i < members_; ++i) {
-      if (cluster_->Stands(i)) cluster_->Resume(i);
+      if (cluster_->Stands(i))
+        cluster_->Resume(i);
     }
     // What is left of the plan may still take one down; all are up at the end.
     cluster_->RunUntil(kTroubles + 15 * kSecond);
     cluster_->Mend();
     for (int i = 0; i < members_; ++i) {
-      if (cluster_->Stands(i)) cluster_->Resume(i);
+      if (cluster_->Stands(i))
+        cluster_->Resume(i);
     }
     const int dead = static_cast<int>(random_(members_ + 1));  // one stays dead, or none
-    if (dead < members_ && cluster_->Runs(dead) && members_ > 3) TakeDown(dead, "stays dead");
+    if (dead < members_ && cluster_->Runs(dead) && members_ > 3)
+      TakeDown(dead, "stays dead");
     tools::Network calm;
     cluster_->SetNetwork(calm);
     Say("calm");
@@ -261,7 +284,8 @@
 
   void LookAtViews() {
     for (int i = 0; i < members_; ++i) {
-      if (!cluster_->Runs(i)) continue;
+      if (!cluster_->Runs(i))
+        continue;
       for (int j = 0; j < members_; ++j) {
         const std::optional<State> state = cluster_->core(i).members().StateOf(cluster_->name(j));
         if (cluster_->Runs(j) && state != State::kAlive)
@@ -288,7 +312,8 @@
   void LookAtLease() {
     int voters = 0, holders = 0;
     for (int i = 0; i < members_; ++i) {
-      if (!cluster_->Runs(i)) continue;
+      if (!cluster_->Runs(i))
+        continue;
       voters += std::count(settings_.voters.begin(), settings_.voters.end(), cluster_->name(i));
       holders += cluster_->core(i).leases().at("housekeeping").Holds(cluster_->LocalTime(i)).has_value();
     }
@@ -324,7 +349,8 @@
   app.add_option("--seed", one, "Plays this one and tells what happens");
   app.add_flag("--planted", planted, "A defect is built in: succeed if it is found");
   CLI11_PARSE(app, argc, argv);
-  if (one) first = *one, count = 1;
+  if (one)
+    first = *one, count = 1;
   std::uint64_t failed = 0, takeovers = 0, refuted = 0, leases = 0;
   double worst = 0;
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
@@ -332,10 +358,12 @@
     takeovers += verdict.takeovers, refuted += verdict.deaths_refuted, leases += verdict.leases;
     worst = std::max(worst, static_cast<double>(verdict.ownerless) /
                                 static_cast<double>(std::max<Micros>(1, verdict.ownerless_bound)));
-    if (verdict.broken.empty()) continue;
+    if (verdict.broken.empty())
+      continue;
     ++failed;
     std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), verdict.broken.c_str());
-    if (planted) break;
+    if (planted)
+      break;
   }
   std::printf(
       "%llu seeds from %llu: %llu broke a promise; %llu takeovers, %llu false deaths refuted, %llu leases "
@@ -344,6 +372,7 @@
       static_cast<unsigned long long>(count), static_cast<unsigned long long>(first),
       static_cast<unsigned long long>(failed), static_cast<unsigned long long>(takeovers),
       static_cast<unsigned long long>(refuted), static_cast<unsigned long long>(leases), worst);
-  if (planted) return failed > 0 ? 0 : 1;
+  if (planted)
+    return failed > 0 ? 0 : 1;
   return failed > 0 ? 1 : 0;
 }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -66,13 +66,16 @@
     for (int n = 0; n < nodes; ++n) {
       nodes_[n].rate *= rate / parts;
       Restart(n);
-      if (nodes_[n].told_at > start_) At(nodes_[n].told_at, [this, n] { TellList(n); });
+      if (nodes_[n].told_at > start_)
+        At(nodes_[n].told_at, [this, n] { TellList(n); });
       At(begin_, [this, n] { Next(n); });
     }
     At(start_, [this] {
       for (int n = 0; n < static_cast<int>(nodes_.size()); ++n) {
-        if (what_ == Case::kRestarted || what_ == Case::kMisled) Restart(n);
-        if (nodes_[n].told_at <= now_) TellList(n);
+        if (what_ == Case::kRestarted || what_ == Case::kMisled)
+          Restart(n);
+        if (nodes_[n].told_at <= now_)
+          TellList(n);
       }
     });
     // One in five is started anew while workers are cold, and does not know what it has sent to them.
@@ -148,8 +151,10 @@
     const int classes = 2 + static_cast<int>(random_() % 3);
     const double unlike = Between(0.0, misled ? 0.15 : 1.0);  // how much the classes differ in length
     const bool stretched = Chance(0.5) || misled;  // the target then tells little of the running time
-    if (misled) s.overload_factor = Between(3.5, 4.0);
-    if (misled) s.fall = static_cast<Micros>(Between(2.0, 3.0) * kSecond);
+    if (misled)
+      s.overload_factor = Between(3.5, 4.0);
+    if (misled)
+      s.fall = static_cast<Micros>(Between(2.0, 3.0) * kSecond);
     s.classes.resize(1);
     const ClassSettings usual = s.classes[0];
     s.classes.clear();
@@ -168,7 +173,8 @@
       c.repeat = k % 2 == 0 ? Repeat::kRepeatable : Repeat::kUnsafe;
       s.classes.push_back(c);
     }
-    for (int k = 0; k < classes; ++k) mean_job_ += (shares_[k] /= shares) * runs_[k];
+    for (int k = 0; k < classes; ++k)
+      mean_job_ += (shares_[k] /= shares) * runs_[k];
     exponential_ = Chance(0.3);
     spread_ = Between(0.25, 0.72);
   }
@@ -200,7 +206,8 @@
     std::vector<WorkerEntry> entries;
     for (const Box& b : boxes_) {
       entries.push_back(b.entry);
-      if (b.cold && now_ >= start_ && now_ >= nodes_[n].told_at) entries.back().since = start_;
+      if (b.cold && now_ >= start_ && now_ >= nodes_[n].told_at)
+        entries.back().since = start_;
     }
     Do(n, WorkerList{WorkerList::Form::kFull, entries});
   }
@@ -209,7 +216,8 @@
     const double rate = nodes_[n].rate * (now_ >= idle_until_ && idle_until_ > begin_ ? 2.0 : 1.0);
     const double gap = std::exponential_distribution<double>(rate)(random_);
     At(now_ + 1 + static_cast<Micros>(gap), [this, n] {
-      if (now_ < idle_from_ || now_ >= idle_until_) Arrive(n);
+      if (now_ < idle_from_ || now_ >= idle_until_)
+        Arrive(n);
       Next(n);
     });
   }
@@ -246,7 +254,8 @@
     }
   }
   void Tell(int n, int life, const Event& event) {
-    if (nodes_[n].life == life) Do(n, event);
+    if (nodes_[n].life == life)
+      Do(n, event);
   }
 
   void Run(int n, const Send& send) {
@@ -254,7 +263,8 @@
     const auto id = static_cast<std::uint64_t>(send.request);
     const int attempt = attempts_[id]++;
     const double work = jobs_[id];
-    if (b.cold && now_ >= start_) b.sent.push_back({now_, work / mean_job_, now_ >= nodes_[n].told_at});
+    if (b.cold && now_ >= start_)
+      b.sent.push_back({now_, work / mean_job_, now_ >= nodes_[n].told_at});
     const int life = nodes_[n].life;
     AttemptEnded e;
     e.request = send.request;
@@ -285,14 +295,16 @@
       return settings_.cold_share + (1.0 - settings_.cold_share) * std::max(0.0, t) / settings_.warm_after;
     };
     double sum = 0.0;
-    for (int i = 0; i < 20; ++i) sum += able(end - start_ - (i + 0.5) / 20.0 * settings_.fall);
+    for (int i = 0; i < 20; ++i)
+      sum += able(end - start_ - (i + 0.5) / 20.0 * settings_.fall);
     return sum / 20.0;
   }
 
   Tally Count() const {
     Tally tally;
     for (const Box& b : boxes_) {
-      if (!b.cold) continue;
+      if (!b.cold)
+        continue;
       ++tally.workers;
       const double whole = settings_.overload_factor * b.slots * settings_.fall / mean_job_;
       double sent = 0.0, of_told = 0.0;
@@ -344,7 +356,8 @@
   Tally all;
   for (int seed = 1; seed <= seeds; ++seed) {
     const Tally one = ColdFleet(nodes, uneven, what, seed).Play();
-    if (one.fell > 0) one.Print("  seed " + std::to_string(seed));
+    if (one.fell > 0)
+      one.Print("  seed " + std::to_string(seed));
     all.Add(one);
   }
   return all;
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -157,7 +157,8 @@
   std::string Figure(const std::string& name) const {
     std::istringstream lines(Call("DUMP"));
     for (std::string line; std::getline(lines, line);) {
-      if (line.starts_with("app." + name + ":")) return line.substr(name.size() + 5);
+      if (line.starts_with("app." + name + ":"))
+        return line.substr(name.size() + 5);
     }
     return "";
   }
@@ -219,7 +220,8 @@
   for (const char* object : {"", "/settings", "/settings/limits", "/settings/rules", "/settings/grades/0"}) {
     for (const auto& [name, value] : s.config.at(nlohmann::json::json_pointer(object)).items()) {
       const std::string path = std::string(object) + "/" + name;
-      if (path == "/known" || path.find("dedup") != std::string::npos || value.is_null()) continue;
+      if (path == "/known" || path.find("dedup") != std::string::npos || value.is_null())
+        continue;
       CAPTURE(path);
       nlohmann::json broken = s.config;
       broken.at(nlohmann::json::json_pointer(object)).erase(name);
@@ -250,7 +252,8 @@
   }
   CHECK(s.Call("HEALTH").starts_with("OK"));
   // Those that are left are hung up on in bounded time.
-  for (const Socket& silent : crowd) static_cast<void>(Service::Rest(silent));
+  for (const Socket& silent : crowd)
+    static_cast<void>(Service::Rest(silent));
 }
 
 }  // namespace
--- a/tests/daemon/call_pacing_test.cpp
+++ b/tests/daemon/call_pacing_test.cpp
@@ -23,7 +23,8 @@
   Verdict Take(Micros now) {
     const Micros starts = std::max(now, free_at_);
     free_at_ = starts + kCall;
-    if (starts - now > kPatience) return {false, now + kPatience};
+    if (starts - now > kPatience)
+      return {false, now + kPatience};
     return {true, free_at_};
   }
 
@@ -62,7 +63,8 @@
     const Micros wait = paced ? pacing[i].AfterFailure() : static_cast<Micros>(random() % 300'000);
     calls.emplace(verdict.at + wait, i);
   }
-  if (!calls.empty()) outcome.last_served = 60 * kSecond;
+  if (!calls.empty())
+    outcome.last_served = 60 * kSecond;
   return outcome;
 }
 
@@ -88,7 +90,8 @@
       CHECK(wait > 0);
       // Three hundred that repeat within 5 s never get through where discovery works on the dead calls too.
       CHECK(wait <= (dispatchers <= 83 ? kLongest : std::min<Micros>(2 * kLongest, dispatchers * 60'000)));
-      if (i >= 20) longest_of_late = std::max(longest_of_late, wait);
+      if (i >= 20)
+        longest_of_late = std::max(longest_of_late, wait);
     }
     CHECK(longest_of_late > kLongest / 2);
     pacing.Succeeded();
--- a/tests/daemon/client_crossings_test.cpp
+++ b/tests/daemon/client_crossings_test.cpp
@@ -42,7 +42,8 @@
   std::size_t sent = 0;
   while (sent < text.size()) {
     const ssize_t size = send(socket.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
-    if (size <= 0) return false;
+    if (size <= 0)
+      return false;
     sent += static_cast<std::size_t>(size);
   }
   return true;
@@ -90,7 +91,8 @@
                                    {"zone", "quilicura"},
                                    {"state", "SERVING"}}};
     // No job waits for its tokens here.
-    for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+    for (auto& tenant : config["settings"]["tenants"])
+      tenant["quotaPerS"] = 1000.0;
     for (const auto& [pointer, value] : changes.items())
       config[nlohmann::json::json_pointer(pointer)] = value;
     daemon.emplace(config, nlohmann::json::object());
@@ -195,7 +197,8 @@
 // Until the daemon holds so many descriptors: it has accepted.
 void AwaitDescriptors(const Rig& rig, long count) {
   const std::filesystem::path folder = "/proc/" + std::to_string(rig.daemon->pid()) + "/fd";
-  while (std::distance(std::filesystem::directory_iterator(folder), {}) < count) std::this_thread::yield();
+  while (std::distance(std::filesystem::directory_iterator(folder), {}) < count)
+    std::this_thread::yield();
 }
 long Descriptors(const Rig& rig) {
   const std::filesystem::path folder = "/proc/" + std::to_string(rig.daemon->pid()) + "/fd";
@@ -259,7 +262,8 @@
 
 int Count(const std::string& text, const std::string& part) {
   int count = 0;
-  for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++count;
+  for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1))
+    ++count;
   return count;
 }
 
@@ -291,7 +295,8 @@
   REQUIRE(Send(client, Request("r1")));
   const Socket execution = rig.Execution("r1");
   REQUIRE(Send(client, Request("r2")));
-  for (const int number : {SIGTERM, SIGTERM, SIGHUP}) rig.daemon->Signal(number);
+  for (const int number : {SIGTERM, SIGTERM, SIGHUP})
+    rig.daemon->Signal(number);
   REQUIRE(rig.daemon->Logs("draining"));
   Rig::Done(execution, "r1");
   const Heard heard = Hear(client);
@@ -385,7 +390,8 @@
     rig.daemon->Signal(SIGTERM);
     REQUIRE(rig.daemon->Logs("draining"));
     const bool sent = Send(client, kReady);
-    if (Clock::now() - came > kSoon && tries < 20) continue;  // the machine was too slow to tell
+    if (Clock::now() - came > kSoon && tries < 20)
+      continue;  // the machine was too slow to tell
     CHECK(sent);
     CHECK(Hear(client).text.starts_with(kServed + "Connection: close\r\n"));
     CHECK(rig.daemon->Wait() == 0);
@@ -420,7 +426,8 @@
   const Socket newcomer = rig.Connect();
   REQUIRE(Send(newcomer, kReady));
   CHECK(!Readable(newcomer, 500));
-  for (Socket& client : clients) client.Close();
+  for (Socket& client : clients)
+    client.Close();
   CHECK(Hear(newcomer, "ready\n").text.starts_with(kServed));
   rig.daemon->Signal(SIGTERM);
   CHECK(rig.daemon->Wait() == 0);
--- a/tests/daemon/cluster_test.cpp
+++ b/tests/daemon/cluster_test.cpp
@@ -48,8 +48,10 @@
     folder_ = pattern;
     std::ofstream(folder_ / "keys") << std::string(64, '5') << "\n";
     chmod((folder_ / "keys").c_str(), 0600);
-    for (int i = 0; i < kDaemons; ++i) daemons_.emplace_back(nullptr);
-    for (int i = 0; i < kDaemons; ++i) Start(i);
+    for (int i = 0; i < kDaemons; ++i)
+      daemons_.emplace_back(nullptr);
+    for (int i = 0; i < kDaemons; ++i)
+      Start(i);
   }
   ~Trio() {
     daemons_.clear();
@@ -69,7 +71,8 @@
                          {"state", "SERVING"}});
     config["known"] = {{"version", 1}, {"full", true}, {"servers", servers}};
     nlohmann::json join = nlohmann::json::array();
-    for (int j = 0; known_ && j < kDaemons; ++j) join.push_back(Reached(j));
+    for (int j = 0; known_ && j < kDaemons; ++j)
+      join.push_back(Reached(j));
     const nlohmann::json own = {
         {"logging", {{"lines_per_second", 1}}},
         {"control", {{"socket", Socket(i)}}},
@@ -104,20 +107,23 @@
   }
   std::string StateOf(int seen_by, int whom) const {
     for (const auto& member : Ask(seen_by, "members").value("members", nlohmann::json::array())) {
-      if (member.at("name") == Name(whom)) return member.at("state");
+      if (member.at("name") == Name(whom))
+        return member.at("state");
     }
     return "";
   }
   std::uint64_t EpochOf(int seen_by, int whom) const {
     for (const auto& member : Ask(seen_by, "members").value("members", nlohmann::json::array())) {
-      if (member.at("name") == Name(whom)) return member.at("epoch");
+      if (member.at("name") == Name(whom))
+        return member.at("epoch");
     }
     return 0;
   }
   bool AllAlive() const {
     for (int i = 0; i < kDaemons; ++i) {
       for (int j = 0; j < kDaemons; ++j) {
-        if (StateOf(i, j) != "alive") return false;
+        if (StateOf(i, j) != "alive")
+          return false;
       }
     }
     return true;
@@ -125,7 +131,8 @@
   int Owned(int i) const { return Ask(i, "duties").at("probing").at("owned"); }
   bool EachOwnedOnce() const {
     int owned = 0;
-    for (int i = 0; i < kDaemons; ++i) owned += Owned(i);
+    for (int i = 0; i < kDaemons; ++i)
+      owned += Owned(i);
     return owned == workers_->size();
   }
   std::uint64_t TermHeld(int i) const {  // 0: it does not hold
@@ -134,7 +141,8 @@
   }
   int Holder() const {  // -1: nobody
     for (int i = 0; i < kDaemons; ++i) {
-      if (TermHeld(i) != 0) return i;
+      if (TermHeld(i) != 0)
+        return i;
     }
     return -1;
   }
@@ -142,10 +150,13 @@
   bool TwoHold() const {
     for (int i = 0; i < kDaemons; ++i) {
       const std::uint64_t before = TermHeld(i);
-      if (before == 0) continue;
+      if (before == 0)
+        continue;
       bool other = false;
-      for (int j = 0; j < kDaemons; ++j) other |= j != i && TermHeld(j) != 0;
-      if (other && TermHeld(i) == before) return true;
+      for (int j = 0; j < kDaemons; ++j)
+        other |= j != i && TermHeld(j) != 0;
+      if (other && TermHeld(i) == before)
+        return true;
     }
     return false;
   }
@@ -169,14 +180,16 @@
   const auto from = Clock::now();
   Await("the window", [&] {
     std::size_t least = SIZE_MAX;
-    for (int w = 0; w < kWorkers; ++w) least = std::min(least, unshared.Since(w, from));
+    for (int w = 0; w < kWorkers; ++w)
+      least = std::min(least, unshared.Since(w, from));
     return least >= 90;
   });
   double worst = 1.0 / 3.0, all_shared = 0, all_unshared = 0;
   for (int w = 0; w < kWorkers; ++w) {
     const double ratio =
         static_cast<double>(shared.Since(w, from)) / static_cast<double>(unshared.Since(w, from));
-    if (std::abs(ratio - 1.0 / 3.0) > std::abs(worst - 1.0 / 3.0)) worst = ratio;
+    if (std::abs(ratio - 1.0 / 3.0) > std::abs(worst - 1.0 / 3.0))
+      worst = ratio;
     all_shared += static_cast<double>(shared.Since(w, from));
     all_unshared += static_cast<double>(unshared.Since(w, from));
   }
@@ -200,7 +213,8 @@
     CHECK(trio.daemon(victim).Wait() == -SIGKILL);
     Await("every worker is probed on", [&] {
       for (int w = 0; w < kWorkers; ++w) {
-        if (workers.Since(w, died + milliseconds(kWorkerProbeMs / 5)) == 0) return false;
+        if (workers.Since(w, died + milliseconds(kWorkerProbeMs / 5)) == 0)
+          return false;
       }
       return true;
     });
@@ -232,7 +246,8 @@
   Await("somebody holds", [&] { return trio.AllAlive() && trio.Holder() >= 0; });
   const int alone = trio.Holder();
   for (int j = 0; j < kDaemons; ++j) {
-    if (j != alone) trio.relay().Cut(alone, j), trio.relay().Cut(j, alone);
+    if (j != alone)
+      trio.relay().Cut(alone, j), trio.relay().Cut(j, alone);
   }
   bool two = false;
   Await("one of the others holds", [&] {
@@ -243,7 +258,8 @@
   Await("each side takes the other for dead", [&] {
     two |= trio.TwoHold();
     for (int j = 0; j < kDaemons; ++j) {
-      if (j != alone && (trio.StateOf(alone, j) != "dead" || trio.StateOf(j, alone) != "dead")) return false;
+      if (j != alone && (trio.StateOf(alone, j) != "dead" || trio.StateOf(j, alone) != "dead"))
+        return false;
     }
     return true;
   });
@@ -296,7 +312,8 @@
   for (int w = 0; w < kWorkers; ++w) {
     auto last = from;
     for (const auto at : workers.Probes(w)) {
-      if (at < from || at > until) continue;
+      if (at < from || at > until)
+        continue;
       longest = std::max(longest, std::chrono::duration<double>(at - last).count());
       last = at;
     }
--- a/tests/daemon/core_test.cpp
+++ b/tests/daemon/core_test.cpp
@@ -73,7 +73,8 @@
   std::vector<T> Effects() const {
     std::vector<T> all;
     for (const Effect& e : effects_) {
-      if (const auto* one = std::get_if<T>(&e)) all.push_back(*one);
+      if (const auto* one = std::get_if<T>(&e))
+        all.push_back(*one);
     }
     return all;
   }
@@ -267,8 +268,10 @@
   // The module's own deadline timer, while the connection still comes up: its wait is over before the
   // reducer's.
   for (const SetTimer& timer : b.Effects<SetTimer>()) {
-    if (timer.key.wait == TimerKey::Wait::kModule) b.Tell(TimerDue{timer.key}, timer.delay);
-    if (!b.Effects<Answer>().empty()) break;
+    if (timer.key.wait == TimerKey::Wait::kModule)
+      b.Tell(TimerDue{timer.key}, timer.delay);
+    if (!b.Effects<Answer>().empty())
+      break;
   }
   CHECK(b.Effects<Answer>().size() == 1);
   CHECK(b.Only<StopExecution>().execution == start.execution);
@@ -332,7 +335,8 @@
   const auto second = b.Only<StartExecution>();  // 60 ms after the first was decided on
   const TimerKey wait{TimerKey::Wait::kHandover, static_cast<std::uint64_t>(second.execution)};
   Micros delay = 0;
-  for (const SetTimer& timer : b.Effects<SetTimer>()) delay = timer.key == wait ? timer.delay : delay;
+  for (const SetTimer& timer : b.Effects<SetTimer>())
+    delay = timer.key == wait ? timer.delay : delay;
   CHECK(delay == 40 * kMillisecond);
   SUBCASE("the last moment") {
     b.Tell(ExecutionConnected{second.execution}, delay - 1);
@@ -361,7 +365,8 @@
   const auto first = b.Only<StartExecution>();
   Micros waited = 0;
   for (const SetTimer& timer : b.Effects<SetTimer>()) {
-    if (timer.key.wait != TimerKey::Wait::kModule || timer.delay >= 4 * kSecond || waited > 0) continue;
+    if (timer.key.wait != TimerKey::Wait::kModule || timer.delay >= 4 * kSecond || waited > 0)
+      continue;
     b.Tell(TimerDue{timer.key}, timer.delay);
     waited = b.Effects<StopExecution>().empty() ? 0 : timer.delay;
   }
@@ -445,7 +450,8 @@
       CHECK(b.Effects<StopExecution>().size() == (end.how == How::kEnded ? 0 : 1));
       const bool again = !over && (end.never_ran || klass != "once");
       REQUIRE(b.Effects<StartExecution>().size() == (again ? 1 : 0));
-      if (again) continue;
+      if (again)
+        continue;
       const auto answer = b.Only<Answer>().answer;
       CHECK(std::holds_alternative<Nack>(answer) == (end.never_ran || klass != "once"));
       CHECK(b.core().Quiet());
@@ -466,7 +472,8 @@
   Bench b;
   const auto run = [&b](std::uint64_t client, const std::string& klass, const std::string& id) {
     b.Ask(client, klass, id);
-    if (b.Effects<StartExecution>().empty()) return false;
+    if (b.Effects<StartExecution>().empty())
+      return false;
     const auto start = b.Only<StartExecution>();
     b.Tell(ExecutionHandedOver{start.execution});
     b.Tell(ExecutionEnded{start.execution, Outcome::kServed, "", {}});
@@ -532,7 +539,8 @@
   b.Tell(NameTableNews{NameTableNews::Form::kChanges, Instance::Source::kSession, {Bench::Worker("s")}});
   bool asked = false;
   for (const SetTimer& timer : timers) {
-    if (timer.key.wait != TimerKey::Wait::kModule) continue;
+    if (timer.key.wait != TimerKey::Wait::kModule)
+      continue;
     b.Tell(TimerDue{timer.key}, 200 * kMillisecond);
     asked = asked || !b.Effects<WatchNameTable>().empty();
   }
@@ -568,9 +576,11 @@
       R"((\w+)\s+(?:OBJECT IDENTIFIER|MODULE-IDENTITY|OBJECT-TYPE)([\s\S]*?)::=\s*\{\s*(\w+)\s+(\d+)\s*\})");
   for (std::sregex_iterator at(text.begin(), text.end(), object), end; at != end; ++at) {
     snmp::ObjectId id = ids.at((*at)[3]);
-    if ((*at)[3] != "netSnmpPlaypen") id.push_back(std::stoull((*at)[4]));
+    if ((*at)[3] != "netSnmpPlaypen")
+      id.push_back(std::stoull((*at)[4]));
     ids[(*at)[1]] = id;
-    if ((*at)[2].str().find("read-only") != std::string::npos) readable.insert(id);
+    if ((*at)[2].str().find("read-only") != std::string::npos)
+      readable.insert(id);
   }
   return readable;
 }
--- a/tests/daemon/daemon_under_test.h
+++ b/tests/daemon/daemon_under_test.h
@@ -20,7 +20,8 @@
 
 inline nlohmann::json ReadJson(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file)
+    throw std::runtime_error("cannot read " + path);
   return nlohmann::json::parse(file);
 }
 
@@ -31,11 +32,13 @@
                   const char* settings_variable = "ALDERSILL_SETTINGS",
                   const std::string& serving = " serving ", const std::string& program = ALDERSILL_PROGRAM) {
     std::string pattern = (std::filesystem::temp_directory_path() / "aldersill-XXXXXX").string();
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
+    if (mkdtemp(pattern.data()) == nullptr)
+      throw std::runtime_error("mkdtemp");
     folder_ = pattern;
     Write(config.dump(), settings);
     int log[2];
-    if (pipe(log) != 0) throw std::runtime_error("pipe");
+    if (pipe(log) != 0)
+      throw std::runtime_error("pipe");
     pid_ = fork();
     if (pid_ == 0) {
       dup2(log[1], 2);
@@ -43,7 +46,8 @@
       close(log[1]);
       setenv("GW_CONFIG", (folder_ / "config.json").c_str(), 1);
       setenv(settings_variable, (folder_ / "aldersill.yaml").c_str(), 1);
-      for (const char* name : {"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}) unsetenv(name);
+      for (const char* name : {"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"})
+        unsetenv(name);
       execl(program.c_str(), program.c_str(), nullptr);
       _exit(127);
     }
@@ -55,7 +59,8 @@
       if (std::sscanf(line.c_str(), "aldersill: info door name=%31[a-z] address=127.0.0.1:%d", door, &port) ==
           2)
         ports_[door] = static_cast<std::uint16_t>(port);
-      if (line.find(serving) != std::string::npos) break;
+      if (line.find(serving) != std::string::npos)
+        break;
     }
   }
   ~DaemonUnderTest() {
@@ -76,7 +81,8 @@
   // Reads its log up to a line with this text; false if it ends without one.
   bool Logs(const std::string& text) {
     for (std::string line; NextLine(&line);) {
-      if (line.find(text) != std::string::npos) return true;
+      if (line.find(text) != std::string::npos)
+        return true;
     }
     return false;
   }
@@ -100,7 +106,8 @@
   // As Wait, at once: nothing while it runs. What it logs meanwhile is not read.
   std::optional<int> Ended() {
     int status = 0;
-    if (waitpid(pid_, &status, WNOHANG) != pid_) return std::nullopt;
+    if (waitpid(pid_, &status, WNOHANG) != pid_)
+      return std::nullopt;
     pid_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
@@ -109,7 +116,8 @@
  private:
   bool NextLine(std::string* line) {
     char buffer[2048];
-    if (std::fgets(buffer, sizeof(buffer), log_) == nullptr) return false;
+    if (std::fgets(buffer, sizeof(buffer), log_) == nullptr)
+      return false;
     *line = buffer;
     all_ += *line;
     return true;
--- a/tests/daemon/discovery_clock_test.cpp
+++ b/tests/daemon/discovery_clock_test.cpp
@@ -63,7 +63,8 @@
  public:
   Fleet(const Scene& scene, int count, std::uint64_t seed)
       : scene_(scene), count_(count), random_(seed), all_(static_cast<std::size_t>(count)) {
-    for (int i = 0; i < count; ++i) Start(0, i, 0);
+    for (int i = 0; i < count; ++i)
+      Start(0, i, 0);
     for (int i = 0; i < std::ssize(scene.troubles); ++i) {
       Push(scene.troubles[i].from, 0, Step::kTrouble, i);
     }
@@ -72,7 +73,8 @@
     Push(scene.measured_from, 0, Step::kMeasure, 0);
   }
   Found Run() {
-    for (; !steps_.empty() && steps_.top().at < kEnd; steps_.pop()) Do(Step(steps_.top()));
+    for (; !steps_.empty() && steps_.top().at < kEnd; steps_.pop())
+      Do(Step(steps_.top()));
     return found_;
   }
 
@@ -111,7 +113,8 @@
   bool Chance(double share) { return static_cast<double>(random_() % 100'000) < share * 100'000; }
   const Trouble* Now(Micros at) const {
     for (const Trouble& t : scene_.troubles) {
-      if (t.what <= Trouble::kSilent && t.from <= at && at < t.until) return &t;
+      if (t.what <= Trouble::kSilent && t.from <= at && at < t.until)
+        return &t;
     }
     return nullptr;
   }
@@ -148,9 +151,11 @@
     next.Begin(now, Pushed() ? 4 * kSecond : kMustAskIn - DiscoveryClock::kWait);
     next.Succeed(*one.clock);
     for (const auto& [number, call] : one.out) {
-      if (call.wait == 0) one.failed = true;
+      if (call.wait == 0)
+        one.failed = true;
       // What it misses from now on it misses as by a silent watch; the model keeps no old address.
-      if (call.wait > 0) one.silent_since = std::min(one.silent_since, now);
+      if (call.wait > 0)
+        one.silent_since = std::min(one.silent_since, now);
     }
     one.out.clear();
     one.clock.emplace(next);
@@ -164,28 +169,35 @@
   // The earliest moment from which something that is not in the list counts as told; the rule on drains
   // allows the grace on top.
   Micros Told(const One& one) const {
-    if (one.known == Current()) return kNever;
+    if (one.known == Current())
+      return kNever;
     // What an agent has counts from the first moment of a new process.
     const Micros had = Pushed() ? std::max(told_[one.known], one.started_at) : told_[one.known];
     if (Pushed()) {
-      if (one.failed) return had + kToldWithin;
+      if (one.failed)
+        return had + kToldWithin;
       Micros told = one.silent_since == kNever ? had : std::max(had, one.silent_since + kToldWithin);
-      if (one.moved_at >= 0) told = std::max(told, one.moved_at + 4 * kSecond);
+      if (one.moved_at >= 0)
+        told = std::max(told, one.moved_at + 4 * kSecond);
       return told;
     }
-    if (one.failed) return had + kToldWithin;
+    if (one.failed)
+      return had + kToldWithin;
     for (const auto& [number, call] : one.out) {
-      if (call.wait == 0 || call.lost) continue;
+      if (call.wait == 0 || call.lost)
+        continue;
       return call.written ? had + kToldWithin : kNever;  // on its way, or about to be written
     }
     Micros told = std::max(had, one.called_at) + kMustAskIn;
-    if (one.silent_since != kNever) told = std::min(told, std::max(had, one.silent_since + kToldWithin));
+    if (one.silent_since != kNever)
+      told = std::min(told, std::max(had, one.silent_since + kToldWithin));
     return told;
   }
   void Judge(Micros now, One* one) {
     const Micros until = std::min(now, one->clock->good_until());
     const Micros told = Told(*one);
-    if (told != kNever && until > one->judged_to) found_.latest = std::max(found_.latest, until - told);
+    if (told != kNever && until > one->judged_to)
+      found_.latest = std::max(found_.latest, until - told);
     if (one->clock->good_until() < now && one->stopped_at == kNever)
       one->stopped_at = std::max(one->clock->good_until(), one->judged_to);
     one->judged_to = now;
@@ -193,10 +205,12 @@
 
   void Do(const Step& s) {
     if (s.what == Step::kChange) {
-      for (One& one : all_) Judge(s.at, &one);
+      for (One& one : all_)
+        Judge(s.at, &one);
       told_.push_back(Reachable(s.at));
       Push(s.at + scene_.change_every, 0, Step::kChange, 0);
-      for (int i = 0; i < count_; ++i) TellWatches(s.at, i);
+      for (int i = 0; i < count_; ++i)
+        TellWatches(s.at, i);
       return;
     }
     if (s.what == Step::kMeasure) {
@@ -213,22 +227,26 @@
       }
       return;
     }
-    if (s.what == Step::kTrouble) return Begin(s.at, scene_.troubles[s.number]);
+    if (s.what == Step::kTrouble)
+      return Begin(s.at, scene_.troubles[s.number]);
     One& one = all_[s.who];
     const auto call = one.out.find(s.number);
     if (s.what == Step::kCall                               ? s.number != one.generation
         : s.what == Step::kProbe || s.what == Step::kProbed ? s.number != one.probe
                                                             : call == one.out.end() || call->second.lost)
       return;
-    if (s.what == Step::kWritten) return Write(s.at, s.who, s.number);
+    if (s.what == Step::kWritten)
+      return Write(s.at, s.who, s.number);
     Judge(s.at, &one);
     if (s.what == Step::kCall) {
-      if (!one.out.empty() && !Pushed()) one.failed = true;
+      if (!one.out.empty() && !Pushed())
+        one.failed = true;
       const Micros wait = one.clock->next_wait();
       one.clock->Called(s.at);
       one.called_at = s.at;
       // As Discovery has it: four at most, and the oldest makes room.
-      if (one.out.size() == 4) one.out.erase(one.out.begin());
+      if (one.out.size() == 4)
+        one.out.erase(one.out.begin());
       Take(s.at, s.who, wait);
     } else if (s.what == Step::kProbe) {
       one.probing = true;
@@ -281,7 +299,8 @@
   void Begin(Micros now, const Trouble& t) {
     for (int i = 0; i < count_; ++i) {
       One& one = all_[i];
-      if (!Chance(t.share)) continue;
+      if (!Chance(t.share))
+        continue;
       if (t.what == Trouble::kStarts) {
         Judge(now, &one);
         Start(now, i, t.age);
@@ -312,7 +331,8 @@
     if (t != nullptr) {
       if (t->what == Trouble::kSilent) {
         call.lost = true;
-        if (wait > 0 && !Pushed()) all_[who].silent_since = std::min(all_[who].silent_since, now);
+        if (wait > 0 && !Pushed())
+          all_[who].silent_since = std::min(all_[who].silent_since, now);
         return;
       }
       return Push(now + kTravel, who, Step::kFails, number, 0, t->what == Trouble::kErrors);
@@ -321,7 +341,8 @@
       Push(now + wait, who, Step::kWritten, number);
       return TellWatches(now, who);
     }
-    if (Pushed()) return Push(now, who, Step::kWritten, number);
+    if (Pushed())
+      return Push(now, who, Step::kWritten, number);
     const Micros turn = std::max(now, free_at_);
     free_at_ = turn + kSecond / scene_.calls_a_second;
     const bool late = turn - now > 2 * kSecond;
@@ -329,12 +350,14 @@
   }
   void TellWatches(Micros now, int who) {
     for (const auto& [number, call] : all_[who].out) {
-      if (call.wait > 0 && all_[who].known < Current()) Write(now, who, number);
+      if (call.wait > 0 && all_[who].known < Current())
+        Write(now, who, number);
     }
   }
   void Write(Micros now, int who, int number) {
     CallOut& call = all_[who].out.at(number);
-    if (call.lost || call.written) return;
+    if (call.lost || call.written)
+      return;
     const Trouble* t = Now(now);
     if (t != nullptr && t->what == Trouble::kSilent) {
       call.lost = true;
--- a/tests/daemon/discovery_crossings_test.cpp
+++ b/tests/daemon/discovery_crossings_test.cpp
@@ -60,9 +60,11 @@
   void Tell(Event event) override {
     if (const auto* good = std::get_if<NameTableGood>(&event)) {
       good_until = SteadyNow() + good->left;
-      if (failures > 0) latest_after_failure = std::max(latest_after_failure, good_until);
+      if (failures > 0)
+        latest_after_failure = std::max(latest_after_failure, good_until);
     }
-    if (std::holds_alternative<NameTableFailed>(event)) ++failures;
+    if (std::holds_alternative<NameTableFailed>(event))
+      ++failures;
     if (auto* news = std::get_if<NameTableNews>(&event)) {
       heard_at = SteadyNow();
       lists.push_back(std::move(*news));
@@ -70,7 +72,8 @@
   }
   bool Until(const std::function<bool()>& done) {
     for (const Micros end = SteadyNow() + kPatience; !done();) {
-      if (SteadyNow() > end) return false;
+      if (SteadyNow() > end)
+        return false;
       event_base_loop(base_.get(), EVLOOP_ONCE);
     }
     return true;
@@ -105,7 +108,8 @@
     evbuffer* input = bufferevent_get_input(peer);
     std::string head(evbuffer_get_length(input), '\0');
     evbuffer_copyout(input, head.data(), head.size());
-    if (!head.ends_with("\r\n\r\n")) return;
+    if (!head.ends_with("\r\n\r\n"))
+      return;
     evbuffer_drain(input, head.size());
     self->calls.push_back(head);
     self->last_ = peer;
@@ -114,9 +118,11 @@
   }
   // A byte in each turn of the loop.
   void Dribble() {
-    if (rest_.empty()) return;
+    if (rest_.empty())
+      return;
     bufferevent_write(last_, rest_.data(), 1);
-    if (!forever_) rest_.erase(0, 1);
+    if (!forever_)
+      rest_.erase(0, 1);
     dribble_.Set(forever_ ? kMillisecond : 1);
   }
 
@@ -180,7 +186,8 @@
 TEST_CASE("a list that comes byte by byte, indented, is taken whole") {
   Scene* scene = nullptr;
   Scene s([&](int call, const std::string&) {
-    if (call == 1) scene->DribbleTo(Ok(List(41, true, "abc")), false);
+    if (call == 1)
+      scene->DribbleTo(Ok(List(41, true, "abc")), false);
     return std::string();
   });
   scene = &s;
@@ -192,7 +199,8 @@
 TEST_CASE("a list that never ends is called again beside it") {
   Scene* scene = nullptr;
   Scene s([&](int call, const std::string&) {
-    if (call > 1) return call == 2 ? Ok(List(41, true, "a")) : std::string();
+    if (call > 1)
+      return call == 2 ? Ok(List(41, true, "a")) : std::string();
     scene->DribbleTo(" ", true);
     return std::string("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
   });
--- a/tests/daemon/exchanges_test.cpp
+++ b/tests/daemon/exchanges_test.cpp
@@ -22,7 +22,8 @@
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
     std::string verb, pointer, value;
-    if (!(words >> verb) || verb != "config") continue;
+    if (!(words >> verb) || verb != "config")
+      continue;
     words >> pointer;
     nlohmann::json* where = config;
     if (pointer == "own") {
@@ -46,7 +47,8 @@
   config["discovery"] = "127.0.0.1:" + std::to_string(player.Listen("discovery"));
   DaemonUnderTest daemon(config, settings);
   INFO("log:\n" << daemon.log());
-  for (const auto& [name, port] : daemon.ports()) player.AddDoor(name, port);
+  for (const auto& [name, port] : daemon.ports())
+    player.AddDoor(name, port);
   const std::string differs = player.Play(text.str());
   CHECK_MESSAGE(differs.empty(), differs);
   daemon.Signal(SIGTERM);
@@ -61,13 +63,15 @@
   }
   std::sort(files.begin(), files.end());
   REQUIRE(!files.empty());
-  for (const auto& path : files) PlayFile(path);
+  for (const auto& path : files)
+    PlayFile(path);
 }
 
 }  // namespace
 }  // namespace aldersill::tests
 
 int main(int argc, char** argv) {
-  if (argc > 1 && argv[1][0] != '-') aldersill::tests::prefix = argv[1];
+  if (argc > 1 && argv[1][0] != '-')
+    aldersill::tests::prefix = argv[1];
   return doctest::Context(argc, argv).run();
 }
--- a/tests/daemon/execution_crossings_test.cpp
+++ b/tests/daemon/execution_crossings_test.cpp
@@ -50,7 +50,8 @@
     for (std::string line; std::getline(connections, line);) {
       std::istringstream words(line);
       std::string number, from, to, state;
-      if (!(words >> number >> from >> to >> state) || to.find(':') == std::string::npos) continue;
+      if (!(words >> number >> from >> to >> state) || to.find(':') == std::string::npos)
+        continue;
       if (std::stoi(to.substr(to.find(':') + 1), nullptr, 16) == tools::PortOf(listener_) &&
           std::stoi(state, nullptr, 16) == kSynSent)
         return true;
@@ -62,7 +63,8 @@
     pollfd p{client.fd(), POLLIN, 0};
     for (int ms = 0; !IsDialled(); ++ms) {
       REQUIRE(ms < kWaitMs);
-      if (poll(&p, 1, 1) != 0) return false;
+      if (poll(&p, 1, 1) != 0)
+        return false;
     }
     return true;
   }
@@ -87,7 +89,8 @@
   config.erase("discovery");
   config["known"]["servers"] = {
       {{"id", "s-1"}, {"addr", instance.address()}, {"zone", "quilicura"}, {"state", "SERVING"}}};
-  for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+  for (auto& tenant : config["settings"]["tenants"])
+    tenant["quotaPerS"] = 1000.0;
   config["settings"]["limits"]["dialTimeout"] = 20'000'000;  // a dial outlives all that is tried here
   config["settings"]["limits"]["probes"] = false;
   return config;
@@ -141,9 +144,11 @@
   DaemonUnderTest daemon(Config(instance), kTraced);
   instance.Fill();
   tools::Wire client = Ask(daemon, klass, "r1", 900);  // less than it takes the SYN to come again
-  if (!instance.WaitUntilDialled(client)) return false;
+  if (!instance.WaitUntilDialled(client))
+    return false;
   daemon.Stop();  // so that the connection is there before its timers have rung
-  if (!instance.IsDialled()) return false;
+  if (!instance.IsDialled())
+    return false;
   instance.LetIn();
   const tools::Socket peer = instance.Accept();
   daemon.Signal(SIGCONT);
@@ -159,7 +164,8 @@
   for (const std::string klass : {"certificado", "promesa", "cobro"}) {
     CAPTURE(klass);
     int tries = 1;
-    while (tries <= kTries && !ComesUpTooLate(klass)) ++tries;
+    while (tries <= kTries && !ComesUpTooLate(klass))
+      ++tries;
     CHECK(tries <= kTries);
   }
 }
@@ -177,9 +183,12 @@
     REQUIRE(tools::ReadHttp(&first).Header("Req-Id") == "r1");
     instance.Fill();
   }  // ends without a word: it may have run
-  if (!instance.WaitUntilDialled(client)) return false;
-  if (stands_still) daemon.Stop();
-  if (stands_still && !instance.IsDialled()) return false;
+  if (!instance.WaitUntilDialled(client))
+    return false;
+  if (stands_still)
+    daemon.Stop();
+  if (stands_still && !instance.IsDialled())
+    return false;
   instance.LetIn();
   std::optional<tools::Socket> second;
   if (stands_still) {
@@ -191,7 +200,8 @@
   CHECK(daemon.Wait() == 0);
   CHECK(instance.Unasked() == "");
   char byte = 0;
-  if (second) CHECK(recv(second->fd(), &byte, 1, 0) <= 0);
+  if (second)
+    CHECK(recv(second->fd(), &byte, 1, 0) <= 0);
   return true;
 }
 
@@ -199,7 +209,8 @@
   for (const bool stands_still : {false, true}) {
     CAPTURE(stands_still);
     int tries = 1;
-    while (tries <= kTries && !TriesAgainTooLate(stands_still)) ++tries;
+    while (tries <= kTries && !TriesAgainTooLate(stands_still))
+      ++tries;
     CHECK(tries <= kTries);
   }
 }
@@ -210,7 +221,8 @@
     CAPTURE(repeat);
     Instance instance;
     DaemonUnderTest daemon(Config(instance), kTraced);
-    if (!repeat) instance.Fill();
+    if (!repeat)
+      instance.Fill();
     tools::Wire client = Ask(daemon, "certificado", "r1", 9000);
     if (repeat) {
       tools::Wire first(instance.Accept());
--- a/tests/daemon/instance_link_test.cpp
+++ b/tests/daemon/instance_link_test.cpp
@@ -31,7 +31,8 @@
   Socket& operator=(const Socket&) = delete;
   ~Socket() { Close(); }
   void Close() {
-    if (fd_ >= 0) close(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      close(std::exchange(fd_, -1));
   }
   int fd() const { return fd_; }
   bool WaitReadable() const {
@@ -51,15 +52,19 @@
   void Tell(Event event) override {
     if (std::holds_alternative<ExecutionConnected>(event)) {
       ++connected;
-      if (!hand_over) return;
+      if (!hand_over)
+        return;
       link.HandOver({kExecution, Instance::Source::kDiscovery, kSecond});
-      if (once_written) once_written();
+      if (once_written)
+        once_written();
     } else if (std::holds_alternative<ExecutionHandedOver>(event)) {
       ++handed_over;
-      if (stop_when_told) link.Stop(kExecution);
+      if (stop_when_told)
+        link.Stop(kExecution);
     } else {
       ++others;
-      if (auto* one = std::get_if<ExecutionEnded>(&event)) ended = std::move(*one);
+      if (auto* one = std::get_if<ExecutionEnded>(&event))
+        ended = std::move(*one);
     }
   }
 
@@ -103,7 +108,8 @@
         base_.get(), -1, 0, [](evutil_socket_t, short, void* flag) { *static_cast<bool*>(flag) = true; },
         &over));
     evtimer_add(timer.get(), &wait);
-    while (!ended && !over) event_base_loop(base_.get(), EVLOOP_ONCE);
+    while (!ended && !over)
+      event_base_loop(base_.get(), EVLOOP_ONCE);
     return ended.has_value();
   }
 
@@ -174,7 +180,8 @@
       std::string bytes(std::size_t{1} << 20, 0);
       ssize_t size = 0;
       while ((size = recv(peer.fd(), bytes.data(), bytes.size(), MSG_DONTWAIT)) > 0) {
-        if (head == 0) head = bytes.find("\r\n\r\n") + 4;
+        if (head == 0)
+          head = bytes.find("\r\n\r\n") + 4;
         seen += static_cast<std::size_t>(size);
       }
       CHECK(scene.handed_over == (is_whole() ? 1 : 0));
@@ -190,7 +197,8 @@
   scene.hand_over = false;
   scene.Start();
   const Socket peer(scene.Accept());
-  for (int i = 0; i < 5; ++i) scene.Turn([] {});
+  for (int i = 0; i < 5; ++i)
+    scene.Turn([] {});
   REQUIRE(scene.connected == 1);
   char byte = 0;
   CHECK(recv(peer.fd(), &byte, 1, MSG_DONTWAIT) == -1);
@@ -203,7 +211,8 @@
   }
   SUBCASE("stopped") {
     scene.link.Stop(kExecution);
-    for (int i = 0; i < 3; ++i) scene.Turn([] {});
+    for (int i = 0; i < 3; ++i)
+      scene.Turn([] {});
     CHECK(Peek(peer).empty());
     CHECK(scene.handed_over + scene.others == 0);
   }
@@ -213,7 +222,8 @@
   Scene scene;
   scene.Start(std::string(std::size_t{16} << 20, 'x'));
   Socket peer(scene.Accept());
-  for (int i = 0; i < 3; ++i) scene.Turn([] {});
+  for (int i = 0; i < 3; ++i)
+    scene.Turn([] {});
   REQUIRE(scene.handed_over == 0);
   peer.Close();
   REQUIRE(scene.TurnsUntilEnded());
@@ -225,15 +235,18 @@
   const std::string body(std::size_t{16} << 20, 'x');
   scene.Start(body);
   const Socket peer(scene.Accept());
-  for (int i = 0; i < 3; ++i) scene.Turn([] {});
+  for (int i = 0; i < 3; ++i)
+    scene.Turn([] {});
   REQUIRE(scene.handed_over == 0);
   scene.link.Stop(kExecution);
-  for (int i = 0; i < 3; ++i) scene.Turn([] {});
+  for (int i = 0; i < 3; ++i)
+    scene.Turn([] {});
   std::string bytes(std::size_t{1} << 20, 0);
   std::size_t seen = 0;
   while (peer.WaitReadable()) {
     const ssize_t size = recv(peer.fd(), bytes.data(), bytes.size(), 0);
-    if (size <= 0) break;
+    if (size <= 0)
+      break;
     seen += static_cast<std::size_t>(size);
   }
   CHECK(seen > 0);
@@ -246,7 +259,8 @@
   scene.Start();
   scene.link.Stop(kExecution);
   const Socket peer(scene.Accept());
-  for (int i = 0; i < 3; ++i) scene.Turn([] {});
+  for (int i = 0; i < 3; ++i)
+    scene.Turn([] {});
   CHECK(Peek(peer).empty());  // the end of the stream, and nothing before it
   CHECK(scene.handed_over + scene.others == 0);
 }
@@ -256,7 +270,8 @@
   scene.stop_when_told = true;
   scene.Start();
   const Socket peer(scene.Accept());
-  for (int i = 0; i < 3; ++i) scene.Turn([] {});
+  for (int i = 0; i < 3; ++i)
+    scene.Turn([] {});
   CHECK(IsWhole(Peek(peer)));
   CHECK(scene.handed_over == 1);
   CHECK(scene.others == 0);
@@ -329,7 +344,8 @@
     Scene scene;
     scene.Start();
     Socket peer(scene.Accept());
-    while (scene.handed_over == 0) scene.Turn([] {});
+    while (scene.handed_over == 0)
+      scene.Turn([] {});
     REQUIRE(IsWhole(Peek(peer)));
     if (c.then != AnswerCase::Then::kReset) {  // else the request is left unread, and closing resets
       char bytes[4096];
@@ -338,10 +354,13 @@
     for (std::size_t sent = 0; sent < c.bytes.size() && !scene.ended;) {
       const ssize_t n =
           send(peer.fd(), c.bytes.data() + sent, c.bytes.size() - sent, MSG_DONTWAIT | MSG_NOSIGNAL);
-      if (n > 0) sent += static_cast<std::size_t>(n);
-      if (sent < c.bytes.size()) scene.Turn([] {});
+      if (n > 0)
+        sent += static_cast<std::size_t>(n);
+      if (sent < c.bytes.size())
+        scene.Turn([] {});
     }
-    if (c.then != AnswerCase::Then::kNothing) peer.Close();
+    if (c.then != AnswerCase::Then::kNothing)
+      peer.Close();
     REQUIRE(scene.TurnsUntilEnded());
     CHECK(scene.ended->outcome == c.outcome);
     CHECK(scene.ended->result == std::string(c.outcome == Outcome::kServed ? "r" : ""));
@@ -355,22 +374,26 @@
     Scene scene;
     scene.Start();
     const Socket peer(scene.Accept());
-    while (scene.handed_over == 0) scene.Turn([] {});
+    while (scene.handed_over == 0)
+      scene.Turn([] {});
     std::string bytes = "HTTP/1.1 200 OK\r\n\r\n";
-    while (bytes.size() < (std::size_t{4} << 20)) bytes += line;
+    while (bytes.size() < (std::size_t{4} << 20))
+      bytes += line;
     const std::size_t before = mallinfo2().uordblks;
     std::size_t most = 0;
     for (std::size_t sent = 0; sent < bytes.size();) {
       const ssize_t n =
           send(peer.fd(), bytes.data() + sent, bytes.size() - sent, MSG_DONTWAIT | MSG_NOSIGNAL);
-      if (n > 0) sent += static_cast<std::size_t>(n);
+      if (n > 0)
+        sent += static_cast<std::size_t>(n);
       scene.Turn([] {});
       most = std::max(most, mallinfo2().uordblks);
     }
     CHECK(most < before + (std::size_t{1} << 20));
     CHECK_FALSE(scene.ended);
     scene.link.Stop(kExecution);
-    for (int i = 0; i < 3; ++i) scene.Turn([] {});
+    for (int i = 0; i < 3; ++i)
+      scene.Turn([] {});
     CHECK(peer.WaitReadable());  // its end
     CHECK_FALSE(scene.ended);
   }
--- a/tests/daemon/lifecycle_test.cpp
+++ b/tests/daemon/lifecycle_test.cpp
@@ -94,7 +94,8 @@
   const auto at = [&](const char* name) { return "127.0.0.1:" + std::to_string(player.Listen(name)); };
   config["discovery"] = at("d1");
   // No job waits for its tokens here.
-  for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+  for (auto& tenant : config["settings"]["tenants"])
+    tenant["quotaPerS"] = 1000.0;
   player.Listen("w1"), player.Listen("w2");
   DaemonUnderTest daemon(config, nlohmann::json::object());
   player.AddDoor("http", daemon.ports().at("http"));
@@ -154,7 +155,8 @@
   classes[0]["hue"] = {{"of", "red"}};
   config["settings"]["outlook"] = {1, 2};
   // No job waits for its tokens here.
-  for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+  for (auto& tenant : config["settings"]["tenants"])
+    tenant["quotaPerS"] = 1000.0;
   player.Listen("w1");
   DaemonUnderTest daemon(config, nlohmann::json::object());
   REQUIRE(daemon.ports().contains("http"));
@@ -266,7 +268,8 @@
 
 TEST_CASE("on SIGTERM a producer that pushes without a pause does not keep the daemon from ending") {
   nlohmann::json config = Config();
-  for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+  for (auto& tenant : config["settings"]["tenants"])
+    tenant["quotaPerS"] = 1000.0;
   DaemonUnderTest daemon(config, ReadJson(std::string(ALDERSILL_EXCHANGES) + "/aldersill.json"));
   const std::uint16_t port = daemon.ports().at("faktory");
   tools::FaktorySlot worker(port, "w1", [](const std::string&, const std::string&) {
@@ -284,7 +287,8 @@
       const std::string jid = "j" + std::to_string(replies);
       producer.Ask("PUSH {\"jid\":\"" + jid +
                    "\",\"jobtype\":\"certificado\",\"args\":[],\"custom\":{\"tenant\":\"hogar-del-sur\"}}");
-      if (++replies == kBefore) daemon.Signal(SIGTERM);
+      if (++replies == kBefore)
+        daemon.Signal(SIGTERM);
     }
   } catch (const std::runtime_error&) {  // the connection ended
   }
@@ -312,7 +316,8 @@
     return recv(client.fd(), &first, 1, 0) == 1;
   };
   const auto come = [&](int clients) {
-    for (int i = 0; i < clients; ++i) waiting.push_back(tools::ConnectTo(daemon.ports().at("http")));
+    for (int i = 0; i < clients; ++i)
+      waiting.push_back(tools::ConnectTo(daemon.ports().at("http")));
   };
   come(kMost - 1);
   for (const tools::Socket& client : waiting) {
@@ -321,9 +326,11 @@
   }
   // It wakes up to requests first and then to newcomers, and takes these with its answers half written.
   daemon.Stop();
-  for (const tools::Socket& client : waiting) ask(client);
+  for (const tools::Socket& client : waiting)
+    ask(client);
   come(30);
-  for (std::size_t i = kMost - 1; i < waiting.size(); ++i) ask(waiting[i]);
+  for (std::size_t i = kMost - 1; i < waiting.size(); ++i)
+    ask(waiting[i]);
   daemon.Signal(SIGCONT);
   // Each is answered in its turn, as those before it leave.
   for (tools::Socket& client : waiting) {
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -41,12 +41,14 @@
       {
         const std::lock_guard lock(mutex_);
         run = ++runs_[id];
-        if (++running_[id] > 1) ++concurrent_;
+        if (++running_[id] > 1)
+          ++concurrent_;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(2));  // its running time: two at once would meet
       const std::lock_guard lock(mutex_);
       --running_[id];
-      if (run > 1) return Fate::kDone;
+      if (run > 1)
+        return Fate::kDone;
       return IsDropped(id) ? Fate::kDrop : IsFailed(id) ? Fate::kFail : Fate::kDone;
     };
   }
@@ -68,7 +70,8 @@
         CHECK(took_[id] < std::chrono::milliseconds(c.deadline_ms));
         CHECK(runs_[id] >= 1);
         CHECK(runs_[id] <= c.most_runs);
-        if (c.most_runs == 1 && (IsDropped(id) || IsFailed(id))) CHECK(!served_[id]);
+        if (c.most_runs == 1 && (IsDropped(id) || IsFailed(id)))
+          CHECK(!served_[id]);
         asked += c.worth;
         got += served_[id] ? c.worth : 0.0;
       }
@@ -100,13 +103,15 @@
       }
     });
   }
-  for (std::thread& client : clients) client.join();
+  for (std::thread& client : clients)
+    client.join();
 }
 
 nlohmann::json Config() {
   nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
   // Room for all that comes at once: which of them the throttle would refuse is not what is compared here.
-  for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+  for (auto& tenant : config["settings"]["tenants"])
+    tenant["quotaPerS"] = 1000.0;
   return config;
 }
 
@@ -175,7 +180,8 @@
       const tools::HttpMessage answer =
           tools::Post(wire.get(), c.name, id, "hogar-del-sur", c.deadline_ms, "x");
       const bool served = answer.start == "HTTP/1.1 200 OK";
-      if (served) CHECK(answer.body == "ran " + id);
+      if (served)
+        CHECK(answer.body == "ran " + id);
       return served;
     };
   });
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -81,7 +81,8 @@
   std::ofstream(path) << text;
   std::string error;
   try {
-    for (const std::string& field : ReadPlatformFile(path).unknown) error += "unknown " + field + "\n";
+    for (const std::string& field : ReadPlatformFile(path).unknown)
+      error += "unknown " + field + "\n";
   } catch (const ConfigError& e) {
     error = std::string(e.code()) + " " + e.path();
     CHECK(std::string(e.what()).starts_with(e.path() + " "));
@@ -148,10 +149,12 @@
   const nlohmann::json kNegative = -1, kZero = 0, kHuge = 1e300, kText = "NaN";
   const auto refused = [](const std::string& pointer, const std::vector<nlohmann::json>& values) {
     std::string path;
-    for (const char c : pointer.substr(1)) path += c == '/' ? '.' : c;
+    for (const char c : pointer.substr(1))
+      path += c == '/' ? '.' : c;
     for (const char* digit : {"0", "1", "2"}) {
       const std::size_t at = path.find(std::string(".") + digit);
-      if (at != std::string::npos) path.replace(at, 2, std::string("[") + digit + "]");
+      if (at != std::string::npos)
+        path.replace(at, 2, std::string("[") + digit + "]");
     }
     for (const nlohmann::json& value : values) {
       CAPTURE(pointer);
@@ -244,7 +247,8 @@
   std::FILE* pipe = popen((std::string(ALDERSILL_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   REQUIRE(pipe != nullptr);
   char buffer[512];
-  while (std::fgets(buffer, sizeof(buffer), pipe) != nullptr) *output += buffer;
+  while (std::fgets(buffer, sizeof(buffer), pipe) != nullptr)
+    *output += buffer;
   const int status = pclose(pipe);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
@@ -301,7 +305,8 @@
     const nlohmann::json json = nlohmann::json::parse(line);
     CHECK(json.at("time").get<std::string>().size() == 27);
     CHECK(json.at("level") == "info");
-    if (json.at("event") == "serving") serving = json.at("remembered").is_number();
+    if (json.at("event") == "serving")
+      serving = json.at("remembered").is_number();
   }
   CHECK(serving);
 }
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -97,7 +97,8 @@
   CHECK(read->may_have_run);
   REQUIRE(read->running);
   CHECK(read->running->received == job.running->received);
-  for (std::size_t size = 0; size < bytes.size(); ++size) CHECK(!upgrade::DecodeJob(bytes.substr(0, size)));
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    CHECK(!upgrade::DecodeJob(bytes.substr(0, size)));
 }
 
 // ---- An adopted job in the core ----
@@ -115,13 +116,15 @@
   reducer.Reduce(kSecond, adopted, &effects);
   ExecutionNo execution{};
   for (const Effect& e : effects) {
-    if (const auto* resume = std::get_if<ResumeExecution>(&e)) execution = resume->execution;
+    if (const auto* resume = std::get_if<ResumeExecution>(&e))
+      execution = resume->execution;
   }
   effects.clear();
   reducer.Reduce(kSecond + 1, ExecutionEnded{execution, outcome, "ran", {}}, &effects);
   CHECK(reducer.Quiet());
   for (const Effect& e : effects) {
-    if (const auto* answer = std::get_if<Answer>(&e)) return answer->answer;
+    if (const auto* answer = std::get_if<Answer>(&e))
+      return answer->answer;
   }
   FAIL("no answer");
   return Failure{};
@@ -186,7 +189,8 @@
                                    {"addr", "127.0.0.1:" + std::to_string(worker.port())},
                                    {"zone", "quilicura"},
                                    {"state", "SERVING"}}};
-    for (auto& tenant : config["settings"]["tenants"]) tenant["quotaPerS"] = 1000.0;
+    for (auto& tenant : config["settings"]["tenants"])
+      tenant["quotaPerS"] = 1000.0;
   }
   ~Dispatcher() { unsetenv("TMPDIR"); }
   std::unique_ptr<DaemonUnderTest> Start() const {
@@ -200,7 +204,8 @@
     wire.Write(line + "\n");
     std::string answer;
     try {
-      while (true) answer += wire.ReadLine() + "\n";
+      while (true)
+        answer += wire.ReadLine() + "\n";
     } catch (const std::exception&) {  // its end
     }
     return answer;
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -123,7 +123,8 @@
 std::vector<T> Only(const std::vector<Action>& actions) {
   std::vector<T> some;
   for (const Action& action : actions) {
-    if (const auto* one = std::get_if<T>(&action)) some.push_back(*one);
+    if (const auto* one = std::get_if<T>(&action))
+      some.push_back(*one);
   }
   return some;
 }
--- a/tests/embedding/main.cpp
+++ b/tests/embedding/main.cpp
@@ -28,6 +28,7 @@
   dispatcher.Handle(1'000, job, &actions);
 
   for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) std::cout << "send to " << send->worker << "\n";
+    if (const auto* send = std::get_if<Send>(&action))
+      std::cout << "send to " << send->worker << "\n";
   }
 }
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -74,7 +74,8 @@
     d.Advance(d.now + kSecond / 18);
     d.Arrive(id, "unsafe", 5 * kSecond, 1, "only");
     int attempt = 0;
-    if (Count<Send>(d.End(id, 0, Outcome::kFull)) > 0) attempt = 1;
+    if (Count<Send>(d.End(id, 0, Outcome::kFull)) > 0)
+      attempt = 1;
     d.Start(id, attempt);
     d.End(id, attempt, Outcome::kServed, true);
   }
@@ -92,8 +93,10 @@
        ++id) {  // ten a second, each started later than the target, within target and run
     d.Advance(d.now + kSecond / 10);
     d.Arrive(id, "unsafe", 5 * kSecond, 1, "only");
-    if (id > 3) d.Start(id - 3, 0);
-    if (id > 6) d.End(id - 6, 0, Outcome::kServed, true);
+    if (id > 3)
+      d.Start(id - 3, 0);
+    if (id > 6)
+      d.End(id - 6, 0, Outcome::kServed, true);
   }
   EXPECT_LT(Count<Refuse>(d.all), 10);
 }
@@ -106,7 +109,8 @@
   s.tenants = {{"only", 1.0, 40.0}};
   Driver d(s);
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < 40; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+  for (int i = 0; i < 40; ++i)
+    workers.push_back(Entry("w" + std::to_string(i)));
   d.List(workers);
   std::multimap<Micros, int> starts;
   std::multimap<Micros, int> ends;
@@ -140,7 +144,8 @@
   s.worth_by_work = by_work;
   Driver d(s);
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < 40; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+  for (int i = 0; i < 40; ++i)
+    workers.push_back(Entry("w" + std::to_string(i)));
   d.List(workers);
   std::mt19937_64 random(1);
   std::map<int, bool> is_long;
@@ -162,7 +167,8 @@
     start(d.Arrive(id, is_long[id] ? "unsafe" : "repeatable", 100 * kSecond, 1, "only"));
   }
   double refused[2] = {0.0, 0.0};
-  for (const Refuse& r : Only<Refuse>(d.all)) ++refused[is_long[static_cast<int>(r.request)]];
+  for (const Refuse& r : Only<Refuse>(d.all))
+    ++refused[is_long[static_cast<int>(r.request)]];
   return {refused[0] / 1500.0, refused[1] / 500.0};
 }
 
@@ -189,7 +195,8 @@
     s.tenants = {{"only", 1.0, 20.0}};
     Driver d(s);
     std::vector<WorkerEntry> workers;
-    for (int i = 0; i < 40; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+    for (int i = 0; i < 40; ++i)
+      workers.push_back(Entry("w" + std::to_string(i)));
     d.List(workers);
     std::multimap<Micros, std::pair<int, int>> late;
     const auto handle = [&](const std::vector<Action>& actions) {
@@ -254,15 +261,18 @@
   for (int id = 1; id <= 100; ++id) {  // every job starts far too late
     d.Advance(d.now + kSecond / 20);
     d.Arrive(id, "unsafe", 5 * kSecond, 1, "only");
-    if (id > 40) d.Start(id - 40, 0);
-    if (id > 41) d.End(id - 41, 0, Outcome::kServed, true);
+    if (id > 40)
+      d.Start(id - 40, 0);
+    if (id > 41)
+      d.End(id - 41, 0, Outcome::kServed, true);
   }
   for (int id = 60; id <= 100; ++id) {
     d.Start(id, 0);
     d.End(id, 0, Outcome::kServed, true);
   }
   for (int id = 101; id <= 150; ++id) {  // then all start at once: two seconds to return
-    if (id == 141) d.all.clear();
+    if (id == 141)
+      d.all.clear();
     auto actions = d.Advance(d.now + kSecond / 20);
     const auto more = d.Arrive(id, "unsafe", 5 * kSecond, 1, "only");
     actions.insert(actions.end(), more.begin(), more.end());
@@ -307,7 +317,8 @@
     d.Do(ProbeDone{"busy", Outcome::kServed, 1000, FreeSlots(4.0)});  // it has four slots
     d.Do(ProbeDone{"busy", Outcome::kServed, 1000, FreeSlots(1.0)});
     d.Do(ProbeDone{"freer", Outcome::kServed, 1000, FreeSlots(4.0)});
-    for (const Send& send : Only<Send>(d.Arrive(1, "unsafe"))) to_freer += send.worker == "freer";
+    for (const Send& send : Only<Send>(d.Arrive(1, "unsafe")))
+      to_freer += send.worker == "freer";
   }
   EXPECT_EQ(to_freer, 20);
 }
@@ -346,7 +357,8 @@
   s.second_copies = false;
   Driver d(s);
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < 40; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+  for (int i = 0; i < 40; ++i)
+    workers.push_back(Entry("w" + std::to_string(i)));
   d.List(workers);
   std::map<std::string, int> sends;
   for (int id = 1; id <= 400; ++id) {
@@ -356,7 +368,8 @@
     a.time_left = 100 * kSecond;
     a.key = 7;
     d.now += kSecond / 100;
-    for (const Send& send : Only<Send>(d.Do(a))) ++sends[send.worker];
+    for (const Send& send : Only<Send>(d.Do(a)))
+      ++sends[send.worker];
   }
   EXPECT_GT(sends.size(), 20u);
 }
@@ -368,7 +381,8 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Driver d(BasicSettings(), seed);
     std::vector<WorkerEntry> workers;
-    for (int i = 0; i < 100; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+    for (int i = 0; i < 100; ++i)
+      workers.push_back(Entry("w" + std::to_string(i)));
     d.List(workers);
     for (int id = 1; id <= 2000; ++id) {
       Arrival a;
@@ -378,7 +392,8 @@
       a.key = id % 10 == 0 ? 7 : 1000 + id;
       d.now += kSecond / 20;
       for (const Send& send : Only<Send>(d.Do(a))) {
-        if (a.key == 7u) ++popular[send.worker];
+        if (a.key == 7u)
+          ++popular[send.worker];
         d.Start(id, 0);
         d.End(id, 0, Outcome::kServed, true);  // the node itself never has two out
       }
@@ -394,14 +409,16 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Driver d(BasicSettings(), seed);
     std::vector<WorkerEntry> workers;
-    for (int i = 0; i < 40; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+    for (int i = 0; i < 40; ++i)
+      workers.push_back(Entry("w" + std::to_string(i)));
     d.List(workers);
     Arrival a;
     a.request = RequestId{1};
     a.klass = "unsafe";
     a.time_left = 5 * kSecond;
     a.key = 7;
-    for (const Send& send : Only<Send>(d.Do(a))) ++sends[send.worker];
+    for (const Send& send : Only<Send>(d.Do(a)))
+      ++sends[send.worker];
   }
   EXPECT_EQ(sends.size(), 1u);
 }
@@ -426,7 +443,8 @@
 // second ago drew all of the jobs that run a tenth of it, until the next report.
 TEST(Failures, AReportOfATimeThatIsOverDoesNotDrawAllShortJobs) {
   Settings s = BasicSettings();
-  for (ClassSettings& c : s.classes) c.target = kSecond / 20;
+  for (ClassSettings& c : s.classes)
+    c.target = kSecond / 20;
   s.reports = Settings::Reports::kProbesOnly;
   s.probes = true;
   Driver d(s);
@@ -436,7 +454,8 @@
   for (int id = 1; id <= 200; ++id) {
     d.Do(ProbeDone{"told-free", Outcome::kServed, 1000, FreeSlots(4.0)});
     d.Do(ProbeDone{"told-full", Outcome::kServed, 1000, FreeSlots(0.0)});
-    for (const Send& send : Only<Send>(d.Arrive(id, "unsafe"))) ++sends[send.worker];
+    for (const Send& send : Only<Send>(d.Arrive(id, "unsafe")))
+      ++sends[send.worker];
     d.Advance(d.now + kSecond / 50);
     d.Start(id, 0);
     d.Advance(d.now + kSecond / 50);
@@ -512,7 +531,8 @@
     for (int attempt = 0; Count<Send>(actions) > 0; ++attempt) {
       const bool dead = Only<Send>(actions)[0].worker == "dead";
       to_dead += dead;
-      if (!dead) d.Start(id, attempt);
+      if (!dead)
+        d.Start(id, attempt);
       actions = d.End(id, attempt, dead ? Outcome::kConnectFailed : Outcome::kServed, !dead);
     }
   }
@@ -529,7 +549,8 @@
     s.nodes = 100;
     s.second_copies = false;
     s.tenants.clear();
-    for (int t = 0; t < 6; ++t) s.tenants.push_back({"t" + std::to_string(t), 1.0, 20.0});
+    for (int t = 0; t < 6; ++t)
+      s.tenants.push_back({"t" + std::to_string(t), 1.0, 20.0});
     Driver d(s, seed);
     d.List({Entry("a"), Entry("b")});
     std::mt19937_64 random(seed);
@@ -539,7 +560,8 @@
       d.Advance(d.now + static_cast<Micros>(gap(random) * kSecond));
       const auto actions =
           d.Arrive(id, "unsafe", 5 * kSecond, 1, "t" + std::to_string(random() % s.tenants.size()));
-      if (Count<Send>(actions) == 0) continue;
+      if (Count<Send>(actions) == 0)
+        continue;
       d.Start(id, 0);
       d.End(id, 0, Outcome::kServed, true);
     }
@@ -590,7 +612,8 @@
     for (const Micros end = d.now + 3 * kSecond; d.now < end;) {
       for (const Probe& probe : Only<Probe>(d.Advance(d.now + 7'777))) {
         ++asked;
-        if (!c.served_per_s) continue;
+        if (!c.served_per_s)
+          continue;
         LoadReport report = FreeSlots(0.0);
         report.served_per_s = c.served_per_s;
         d.now += 5'000;
--- a/tests/fleet/checker.cpp
+++ b/tests/fleet/checker.cpp
@@ -36,12 +36,14 @@
     if (s.status == 1) {
       out_.erase(s.worker);
       for (auto& [pair, since] : counts_as_told_) {
-        if (pair.second == s.worker) since.reset();
+        if (pair.second == s.worker)
+          since.reset();
       }
       return;
     }
     out_.insert(s.worker);
-    for (const int d : dispatchers_) CountAsTold(d, s.worker, s.at);
+    for (const int d : dispatchers_)
+      CountAsTold(d, s.worker, s.at);
   }
   // What came to discovery while it could not be reached counts from its return on.
   void Reachable(const Seen& s) {
@@ -49,7 +51,8 @@
       cut_off_.insert(s.dispatcher);
     } else if (cut_off_.erase(s.dispatcher) > 0) {
       for (const int w : out_) {
-        if (!counts_as_told_[{s.dispatcher, w}]) CountAsTold(s.dispatcher, w, s.at);
+        if (!counts_as_told_[{s.dispatcher, w}])
+          CountAsTold(s.dispatcher, w, s.at);
       }
     }
   }
@@ -65,15 +68,18 @@
   void Started(const Seen& s) {
     dispatchers_.insert(s.dispatcher);
     std::erase_if(told_, [&](const auto& t) { return t.first.first == s.dispatcher; });
-    for (const int w : out_) CountAsTold(s.dispatcher, w, s.at);
+    for (const int w : out_)
+      CountAsTold(s.dispatcher, w, s.at);
   }
   // Nobody reads while it stands still.
   void Resumed(const Seen& s) {
     for (auto& [pair, since] : told_) {
-      if (pair.first == s.dispatcher && since) since = s.at;
+      if (pair.first == s.dispatcher && since)
+        since = s.at;
     }
     for (auto& [pair, since] : counts_as_told_) {
-      if (pair.first == s.dispatcher && since) since = std::max(*since, s.at + rules_.told_by);
+      if (pair.first == s.dispatcher && since)
+        since = std::max(*since, s.at + rules_.told_by);
     }
   }
   bool Forbids(const Seen& attempt) const {
@@ -89,7 +95,8 @@
   void CountAsTold(int dispatcher, int worker, std::int64_t at) {
     auto& since = counts_as_told_[{dispatcher, worker}];
     since.reset();
-    if (!cut_off_.contains(dispatcher)) since = at + rules_.told_by;
+    if (!cut_off_.contains(dispatcher))
+      since = at + rules_.told_by;
   }
 
   using Since = std::map<std::pair<int, int>, std::optional<std::int64_t>>;
@@ -106,15 +113,18 @@
   void Changed(const Seen& s) {
     got_[s.worker].clear();
     since_[s.worker].reset();
-    if (s.status == 1) since_[s.worker] = s.at;
+    if (s.status == 1)
+      since_[s.worker] = s.at;
   }
   // Calls in the window that ends with this one, as a share of what may come by chance.
   double Got(const Seen& attempt) {
     const auto& since = since_[attempt.worker];
-    if (!since || attempt.at < *since || attempt.at >= *since + rules_.warm_after) return 0.0;
+    if (!since || attempt.at < *since || attempt.at >= *since + rules_.warm_after)
+      return 0.0;
     auto& got = got_[attempt.worker];
     got.push_back(attempt.at);
-    while (got.front() <= attempt.at - rules_.cold_window) got.pop_front();
+    while (got.front() <= attempt.at - rules_.cold_window)
+      got.pop_front();
     const double warm = static_cast<double>(attempt.at - *since) / static_cast<double>(rules_.warm_after);
     const double window = 1.0 + static_cast<double>(rules_.slack) / static_cast<double>(rules_.cold_window);
     const double n = rules_.cold_calls * (rules_.cold_share + (1.0 - rules_.cold_share) * warm) * window;
@@ -137,7 +147,8 @@
 void NoteHeld(const Seen& s, std::vector<Held>* held) {
   const auto same = std::ranges::find_if(
       *held, [&](const Held& h) { return h.dispatcher == s.dispatcher && h.term == s.attempt; });
-  if (same == held->end()) return held->push_back({s.dispatcher, s.attempt, s.at, s.at});
+  if (same == held->end())
+    return held->push_back({s.dispatcher, s.attempt, s.at, s.at});
   same->to = std::max(same->to, s.until);
 }
 
@@ -172,9 +183,11 @@
     } else if (s.what == What::kResumed) {
       drains.Resumed(s);
       for (auto& [id, story] : stories) {
-        if (story.dispatcher != s.dispatcher) continue;
+        if (story.dispatcher != s.dispatcher)
+          continue;
         story.until = std::max(story.until, s.at);
-        if (story.over) story.over = s.at;
+        if (story.over)
+          story.over = s.at;
       }
     } else if (s.what == What::kChanged) {
       drains.Changed(s);
@@ -192,27 +205,33 @@
       for (const auto& [id, story] : stories) {
         Seen last = s;
         last.request = id;
-        if (!story.out.empty()) not_stopped(story, last);
+        if (!story.out.empty())
+          not_stopped(story, last);
       }
     }
-    if (s.request.empty()) continue;
+    if (s.request.empty())
+      continue;
     const bool known = stories.contains(s.request);
     Story& story = stories[s.request];
     switch (s.what) {
       case What::kAsked:
-        if (known && story.crossed.empty()) broken("asked twice under one id (the rig's own fault)", s);
+        if (known && story.crossed.empty())
+          broken("asked twice under one id (the rig's own fault)", s);
         story.klass = s.klass;
         story.dispatcher = s.dispatcher;
         story.until = s.until;
         ++j.asked;
         break;
       case What::kAnswered:
-        if (++story.answers > 1) broken("answered twice", s);
+        if (++story.answers > 1)
+          broken("answered twice", s);
         story.over = s.at;
-        if (s.at > story.until + rules.slack) broken("answered after its deadline", s);
+        if (s.at > story.until + rules.slack)
+          broken("answered after its deadline", s);
         if (s.status == 200) {
           ++j.served;
-          if (!story.results.contains(s.text)) broken("served with what no worker made for it", s);
+          if (!story.results.contains(s.text))
+            broken("served with what no worker made for it", s);
         } else {
           // What the rig asks for is well formed.
           if (s.status >= 400 && s.status < 500 && s.status != 429)
@@ -221,7 +240,8 @@
         }
         break;
       case What::kCrossed:
-        if (story.attempts > 0) broken(kClosedAndSent, s);
+        if (story.attempts > 0)
+          broken(kClosedAndSent, s);
         story.crossed.insert(s.dispatcher);
         story.dispatcher = -1;
         break;
@@ -235,9 +255,11 @@
         j.waited += story.waited;
         break;
       case What::kAttempt:
-        if (!known) broken("sent, and never asked for", s);
+        if (!known)
+          broken("sent, and never asked for", s);
         ++j.attempts;
-        if (story.crossed.contains(s.dispatcher)) broken(kClosedAndSent, s);
+        if (story.crossed.contains(s.dispatcher))
+          broken(kClosedAndSent, s);
         if (story.left && s.at > *story.over + rules.gone_after + rules.slack &&
             ++j.begun_late >= kBegunLateBreaks)
           broken("an attempt began after its client had left, the third or a later one", s);
@@ -248,18 +270,22 @@
             broken("a cold worker got more than it bears, and chance allows", s);
           j.cold_most = got;
         }
-        if (++story.attempts > rules.most_attempts) broken("more attempts than allowed", s);
+        if (++story.attempts > rules.most_attempts)
+          broken("more attempts than allowed", s);
         if (!story.out.empty() && (!rules.second_copies || rules.once.contains(story.klass)))
           broken("two attempts out at once", s);
-        if (drains.Forbids(s)) broken("sent to a worker that it was told to leave alone", s);
+        if (drains.Forbids(s))
+          broken("sent to a worker that it was told to leave alone", s);
         story.out.insert(s.attempt);
         break;
       case What::kAttemptEnd:
-        if (story.out.erase(s.attempt) > 0) not_stopped(story, s);
+        if (story.out.erase(s.attempt) > 0)
+          not_stopped(story, s);
         break;
       case What::kRan:
         ++j.ran;
-        if (++story.runs > 1 && rules.once.contains(story.klass)) broken(story.klass + " ran twice", s);
+        if (++story.runs > 1 && rules.once.contains(story.klass))
+          broken(story.klass + " ran twice", s);
         break;
       case What::kResult:
         story.results.insert(s.text);
@@ -285,7 +311,8 @@
     j.broken.push_back("restarted dispatchers not ready in time: " + std::to_string(j.unready) + " of " +
                        std::to_string(j.restarts));
   for (const auto& [id, story] : stories) {
-    if (story.answers > 0 || story.dispatcher < 0) continue;
+    if (story.answers > 0 || story.dispatcher < 0)
+      continue;
     if (story.left || story.excused) {
       ++(story.left ? j.left : j.excused);
     } else {
--- a/tests/fleet/checker_test.cpp
+++ b/tests/fleet/checker_test.cpp
@@ -201,7 +201,8 @@
     const std::string id = "r" + std::to_string(i);
     seen.push_back(Asked(id, "certificado"));
     seen.push_back(At(1'000, Of(What::kLeft, id)));
-    if (i >= sent_on) continue;
+    if (i >= sent_on)
+      continue;
     seen.push_back(At(1'000 + later_ms, Of(What::kAttempt, id, i + 1)));
     seen.push_back(At(1'000 + later_ms, Of(What::kAttemptEnd, id, i + 1)));
   }
@@ -211,7 +212,8 @@
 // Attempts that end at once are stopped in time.
 std::string FirstOf(const std::vector<Seen>& seen, const std::string& rule) {
   for (const std::string& line : Judge(seen, Two()).broken) {
-    if (line.find(rule) != std::string::npos) return line;
+    if (line.find(rule) != std::string::npos)
+      return line;
   }
   return "";
 }
@@ -270,7 +272,8 @@
 TEST_CASE("nine in ten restarted dispatchers are ready in time") {
   const auto ready = [](int in_time, int late, std::int64_t late_ms) {
     std::vector<Seen> seen(in_time + late, Of(What::kRestarted, ""));
-    for (int i = 0; i < in_time + late; ++i) seen[i].until = (i < in_time ? 10'500 : late_ms) * kMs;
+    for (int i = 0; i < in_time + late; ++i)
+      seen[i].until = (i < in_time ? 10'500 : late_ms) * kMs;
     return FirstBroken(seen);
   };
   CHECK(ready(9, 1, 10'501) == "");
@@ -282,7 +285,8 @@
     "a request that crosses the close of its resting connection is asked again, if it was not sent on") {
   std::vector<Seen> seen = Good("cobro");
   seen.insert(seen.begin(), {Asked("a", "cobro"), Of(What::kCrossed)});
-  for (std::size_t i = 2; i < seen.size(); ++i) seen[i].dispatcher = 1;
+  for (std::size_t i = 2; i < seen.size(); ++i)
+    seen[i].dispatcher = 1;
   CHECK(FirstBroken(seen) == "");
   const std::string broken = "sent on by a dispatcher that closed its connection with no answer: a";
   std::vector<Seen> before = seen, after = seen;
--- a/tests/fleet/datagrams.cpp
+++ b/tests/fleet/datagrams.cpp
@@ -39,11 +39,13 @@
   socklen_t size = sizeof(sender);
   const ssize_t got =
       recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&sender), &size);
-  if (got < 0) return;
+  if (got < 0)
+    return;
   bytes.resize(static_cast<std::size_t>(got));
   const auto from =
       std::ranges::find(links->places_, ntohs(sender.sin_port), [](const auto& p) { return p->real; });
-  if (from == links->places_.end()) return;  // of one that has been killed since
+  if (from == links->places_.end())
+    return;  // of one that has been killed since
   links->Carry((*from)->number, place->number, std::move(bytes));
 }
 
@@ -66,7 +68,8 @@
 
 void DatagramLinks::Stray(int from, int to) {
   std::string bytes(random_(1'500), '\0');
-  for (char& byte : bytes) byte = static_cast<char>(random_());
+  for (char& byte : bytes)
+    byte = static_cast<char>(random_());
   waiting_.insert({SteadyNow(), {from, to, std::move(bytes)}});
   SendDue();
 }
@@ -81,7 +84,8 @@
     ++carried_;
     waiting_.erase(waiting_.begin());
   }
-  if (!waiting_.empty()) due_.Set(waiting_.begin()->first - now);
+  if (!waiting_.empty())
+    due_.Set(waiting_.begin()->first - now);
 }
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/deployment.cpp
+++ b/tests/fleet/deployment.cpp
@@ -11,7 +11,8 @@
 
 nlohmann::json Read(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file)
+    throw std::runtime_error("cannot read " + path);
   return nlohmann::json::parse(file);
 }
 
@@ -32,8 +33,10 @@
     throw std::runtime_error("deployment '" + name + "' is unknown: it must be first or consortium");
   }
   nlohmann::json& settings = d.config["settings"];
-  if (crossing == Crossing::kLeaving) settings["limits"]["dialTimeout"] = kLongDial;
-  if (crossing == Crossing::kIdle) d.config["limits"]["sockets"] = kFewSockets;
+  if (crossing == Crossing::kLeaving)
+    settings["limits"]["dialTimeout"] = kLongDial;
+  if (crossing == Crossing::kIdle)
+    d.config["limits"]["sockets"] = kFewSockets;
   if (crossing == Crossing::kCold) {
     d.slots = 4.0;
     settings["rules"].update({{"coldShare", 0.06}, {"warmAfter", kLongCold}, {"fall", kColdWindow}});
@@ -49,14 +52,16 @@
     const std::string klass = grade.at("name");
     d.classes.push_back(
         {klass, jobs_ms.at(klass).at(0), jobs_ms.at(klass).at(1), grade.at("repeat") == "dedup"});
-    if (grade.at("repeat") == "fragile") d.rules.once.insert(klass);
+    if (grade.at("repeat") == "fragile")
+      d.rules.once.insert(klass);
   }
   d.rules.most_attempts = settings.at("limits").at("maxAttempts");
   d.rules.second_copies = settings.at("limits").at("secondCopies");
   const auto& rules = settings.at("rules");
   d.rules.drain_grace = rules.at("drainGrace").get<std::int64_t>();
   double mean_ms = 0.0;
-  for (const JobClass& c : d.classes) mean_ms += (c.least_ms + c.most_ms) / 2.0 / std::ssize(d.classes);
+  for (const JobClass& c : d.classes)
+    mean_ms += (c.least_ms + c.most_ms) / 2.0 / std::ssize(d.classes);
   d.rules.cold_window = rules.at("fall").get<std::int64_t>();
   d.rules.cold_calls =
       rules.at("overloadFactor").get<double>() * d.slots * d.rules.cold_window / 1'000.0 / mean_ms;
--- a/tests/fleet/discovery.cpp
+++ b/tests/fleet/discovery.cpp
@@ -14,7 +14,8 @@
 std::uint64_t Parameter(evhttp_request* request, const char* name, std::uint64_t fallback) {
   const char* query = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(request));
   evkeyvalq pairs{};
-  if (query == nullptr || evhttp_parse_query_str(query, &pairs) != 0) return fallback;
+  if (query == nullptr || evhttp_parse_query_str(query, &pairs) != 0)
+    return fallback;
   const char* value = evhttp_find_header(&pairs, name);
   const std::uint64_t number = value != nullptr ? std::strtoull(value, nullptr, 10) : fallback;
   evhttp_clear_headers(&pairs);
@@ -24,7 +25,8 @@
 }  // namespace
 
 void FreeIfLeft(evhttp_request* request) {
-  if (request != nullptr && evhttp_request_get_connection(request) == nullptr) evhttp_request_free(request);
+  if (request != nullptr && evhttp_request_get_connection(request) == nullptr)
+    evhttp_request_free(request);
 }
 
 StandInDiscovery::StandInDiscovery(event_base* base, bool pushed, nlohmann::json list, std::uint64_t version,
@@ -44,7 +46,8 @@
 
 void StandInDiscovery::Listen(std::uint16_t port) {
   socket_ = evhttp_bind_socket_with_handle(http_.get(), "127.0.0.1", port);
-  if (socket_ == nullptr) throw std::runtime_error("discovery cannot listen");
+  if (socket_ == nullptr)
+    throw std::runtime_error("discovery cannot listen");
   port_ = static_cast<std::uint16_t>(PortOf(evhttp_bound_socket_get_fd(socket_)));
 }
 
@@ -61,9 +64,11 @@
   call.since = Parameter(request, "index", 0);
   call.silent = std::exchange(self->silence_next_, false) || self->trouble_ == Trouble::kLosses;
   evhttp_connection_set_closecb(evhttp_request_get_connection(request), &StandInDiscovery::OnEnd, &call);
-  if (call.silent || self->down_) return;
+  if (call.silent || self->down_)
+    return;
   const std::uint64_t wait_ms = Parameter(request, "wait", 0);
-  if (self->pushed_ || call.whole || call.since < self->version_ || wait_ms == 0) return self->Answer(&call);
+  if (self->pushed_ || call.whole || call.since < self->version_ || wait_ms == 0)
+    return self->Answer(&call);
   call.overdue = std::make_unique<Timer>(self->base_, [self, &call] { self->Answer(&call); });
   call.overdue->Set(static_cast<Micros>(std::min<std::uint64_t>(wait_ms, 60'000)) * kMillisecond);
 }
@@ -82,7 +87,8 @@
   nlohmann::json servers = nlohmann::json::array();
   for (std::size_t w = 0; w < list_.size(); ++w) {
     const bool gone = list_[w].at("state") == "DELETED";
-    if (call->whole ? gone : changed_[w] <= call->since) continue;
+    if (call->whole ? gone : changed_[w] <= call->since)
+      continue;
     servers.push_back(list_[w]);
   }
   for (std::size_t w = 0; w < list_.size(); ++w) {
@@ -101,24 +107,30 @@
 
 void StandInDiscovery::Change(int worker, const std::string& state, std::int64_t started_ms) {
   list_[worker]["state"] = state;
-  if (started_ms > 0) list_[worker]["started_ms"] = started_ms;
+  if (started_ms > 0)
+    list_[worker]["started_ms"] = started_ms;
   changed_[worker] = ++version_;
-  if (pushed_) told_(worker, state == "SERVING");
+  if (pushed_)
+    told_(worker, state == "SERVING");
   std::vector<Call*> waiting;
   for (Call& call : calls_) {
-    if (!call.silent) waiting.push_back(&call);
+    if (!call.silent)
+      waiting.push_back(&call);
   }
-  for (Call* call : waiting) Answer(call);
+  for (Call* call : waiting)
+    Answer(call);
 }
 
 void StandInDiscovery::Down(bool down) {
   down_ = down;
-  if (down && !pushed_) ResetCalls();
+  if (down && !pushed_)
+    ResetCalls();
 }
 
 void StandInDiscovery::Fail(Trouble trouble) {
   const Trouble before = std::exchange(trouble_, trouble);
-  if (trouble != Trouble::kNone) ResetCalls();
+  if (trouble != Trouble::kNone)
+    ResetCalls();
   if (trouble == Trouble::kRefused && before != trouble) {
     evhttp_del_accept_socket(http_.get(), socket_);
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -136,12 +148,15 @@
 
 void StandInDiscovery::ResetCalls() {
   std::vector<evhttp_connection*> open;
-  for (const Call& call : calls_) open.push_back(evhttp_request_get_connection(call.request));
-  for (evhttp_connection* connection : open) evhttp_connection_free(connection);
+  for (const Call& call : calls_)
+    open.push_back(evhttp_request_get_connection(call.request));
+  for (evhttp_connection* connection : open)
+    evhttp_connection_free(connection);
 }
 
 void StandInDiscovery::Silence() {
-  if (calls_.empty()) silence_next_ = true;
+  if (calls_.empty())
+    silence_next_ = true;
   for (Call& call : calls_) {
     call.silent = true;
     call.overdue.reset();
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -56,26 +56,34 @@
 
   Run Go() {
     const Micros began = SteadyNow();
-    for (int w = 0; w < table_.workers; ++w) AddWorker(w);
+    for (int w = 0; w < table_.workers; ++w)
+      AddWorker(w);
     for (int d = 0; d < table_.dispatchers; ++d) {
       auto& links = links_.emplace_back();
-      for (int w = 0; w < table_.workers; ++w) links.push_back(MakeLink(d, w));
+      for (int w = 0; w < table_.workers; ++w)
+        links.push_back(MakeLink(d, w));
       daemons_.emplace_back();
       discoveries_.emplace_back().push_back(MakeDiscovery(d, ListFor(d), 1));
     }
-    if (table_.members) MakeMembers();
-    for (int d = 0; d < table_.dispatchers; ++d) StartDaemon(d);
-    for (const Fault& fault : table_.faults) At(fault.at_ms, [this, fault] { Do(fault); });
+    if (table_.members)
+      MakeMembers();
+    for (int d = 0; d < table_.dispatchers; ++d)
+      StartDaemon(d);
+    for (const Fault& fault : table_.faults)
+      At(fault.at_ms, [this, fault] { Do(fault); });
     for (int i = 0; i < table_.requests; ++i)
       At(i * table_.length_ms / table_.requests, [this, i] { Ask(i); });
     LookAgain();
     event_base_dispatch(base_.get());
     for (const Daemon& daemon : daemons_) {
-      if (daemon.restarted != 0) See(What::kRestarted, "");
+      if (daemon.restarted != 0)
+        See(What::kRestarted, "");
     }
     See(What::kEnd, "");
-    for (auto& daemon : daemons_) daemon.process.reset();
-    if (datagrams_ != nullptr) run_.datagrams = datagrams_->carried() + datagrams_->dropped();
+    for (auto& daemon : daemons_)
+      daemon.process.reset();
+    if (datagrams_ != nullptr)
+      run_.datagrams = datagrams_->carried() + datagrams_->dropped();
     if (!folder_.empty()) {
       std::error_code ignored;
       std::filesystem::remove_all(folder_, ignored);
@@ -161,7 +169,8 @@
     worker->number = number;
     worker->http.reset(evhttp_new(base_.get()));
     auto* socket = evhttp_bind_socket_with_handle(worker->http.get(), "127.0.0.1", 0);
-    if (socket == nullptr) throw std::runtime_error("a worker cannot listen");
+    if (socket == nullptr)
+      throw std::runtime_error("a worker cannot listen");
     worker->port = static_cast<std::uint16_t>(PortOf(evhttp_bound_socket_get_fd(socket)));
     evhttp_set_gencb(worker->http.get(), &Play_::OnWork, worker.get());
   }
@@ -199,7 +208,8 @@
     evhttp_request_set_on_complete_cb(request, nullptr, nullptr);
     evhttp_connection_set_closecb(evhttp_request_get_connection(request), &Play_::OnWorkerConnectionEnd,
                                   new std::pair<Play_*, int>(this, number));
-    if (SteadyNow() < at.hangs_until) return;
+    if (SteadyNow() < at.hangs_until)
+      return;
     ++at.busy;
     evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
     evhttp_send_reply_start(request, 200, "OK");
@@ -212,11 +222,14 @@
     }
     job.done = std::make_unique<Timer>(base_.get(), [this, number, &at, id = std::string(id), fails, result] {
       --at.busy;
-      if (!fails) See(What::kResult, id, "", -1, 0, 0, result);
+      if (!fails)
+        See(What::kResult, id, "", -1, 0, 0, result);
       nlohmann::json last = {{"id", id}, {"state", fails ? "failed" : "done"}, {"result", result}};
-      if (!deployment_.pulled) last["load"] = Report(at);
+      if (!deployment_.pulled)
+        last["load"] = Report(at);
       Say(number, last);
-      if (evhttp_request* r = std::exchange(at_work_.at(number).request, nullptr)) evhttp_send_reply_end(r);
+      if (evhttp_request* r = std::exchange(at_work_.at(number).request, nullptr))
+        evhttp_send_reply_end(r);
     });
     job.done->Set(ms * kMillisecond);
   }
@@ -229,7 +242,8 @@
   // A line of a job's answer, if its connection is still there.
   void Say(int number, const nlohmann::json& what) {
     evhttp_request* request = at_work_.at(number).request;
-    if (request == nullptr) return;
+    if (request == nullptr)
+      return;
     const std::string line = what.dump() + "\n";
     EventPtr<evbuffer> chunk(evbuffer_new());
     evbuffer_add(chunk.get(), line.data(), line.size());
@@ -261,7 +275,8 @@
 
   void NoteClosed() {
     for (auto& links : links_) {
-      for (auto& link : links) link->NoteClosed();
+      for (auto& link : links)
+        link->NoteClosed();
     }
   }
 
@@ -288,7 +303,8 @@
 
   // What an agent has counts as told from the start of a dispatcher on, as soon as the agent speaks.
   void NoteAgents(int d) {
-    if (!deployment_.pushed || down_ > 0) return;
+    if (!deployment_.pushed || down_ > 0)
+      return;
     for (int w = 0; w < table_.workers; ++w) {
       const bool serving = discoveries_[d].back()->list().at(w).at("state") == "SERVING";
       See(What::kTold, "", "", d, 0, serving ? 1 : 0).worker = w;
@@ -297,7 +313,8 @@
 
   // A change of the list for all dispatchers; while discovery is down, once it is back.
   void Change(int worker, const std::string& state) {
-    if (down_ > 0) return changes_.push_back({worker, state});
+    if (down_ > 0)
+      return changes_.push_back({worker, state});
     See(What::kChanged, "", "", -1, 0, state == "SERVING" ? 1 : 0).worker = worker;
     for (auto& of_dispatcher : discoveries_) {
       for (auto& discovery : of_dispatcher)
@@ -307,8 +324,10 @@
 
   void SetDown(bool down) {
     down_ += down ? 1 : -1;
-    if (down_ > 1 || (down && down_ == 0)) return;
-    for (auto& of_dispatcher : discoveries_) of_dispatcher.back()->Down(down_ > 0);
+    if (down_ > 1 || (down && down_ == 0))
+      return;
+    for (auto& of_dispatcher : discoveries_)
+      of_dispatcher.back()->Down(down_ > 0);
     for (int d = 0; d < table_.dispatchers; ++d) {
       See(What::kReachable, "", "", d, 0, down_ > 0 ? 0 : 1);
       NoteAgents(d);
@@ -324,7 +343,8 @@
 
   void MakeMembers() {
     std::string pattern = (std::filesystem::temp_directory_path() / "aldersill-XXXXXX").string();
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
+    if (mkdtemp(pattern.data()) == nullptr)
+      throw std::runtime_error("mkdtemp");
     folder_ = pattern;
     std::ofstream(folder_ / "keys") << std::string(64, '5') << "\n";
     std::filesystem::permissions(folder_ / "keys", std::filesystem::perms::owner_read);
@@ -338,7 +358,8 @@
   nlohmann::json MembersOwn(int d) const {
     const auto reached = [this](int i) { return "127.0.0.1:" + std::to_string(datagrams_->port(i)); };
     nlohmann::json voters = nlohmann::json::array();
-    for (int i = 0; i < std::min(kVoters, table_.dispatchers); ++i) voters.push_back("d" + std::to_string(i));
+    for (int i = 0; i < std::min(kVoters, table_.dispatchers); ++i)
+      voters.push_back("d" + std::to_string(i));
     return {{"logging", kOwn.at("logging")},
             {"control", {{"socket", Control(d)}}},
             {"membership",
@@ -364,7 +385,8 @@
     ask_->Set(kAskEvery);
     for (int d = 0; d < table_.dispatchers; ++d) {
       Daemon& daemon = daemons_[d];
-      if (daemon.process == nullptr) continue;
+      if (daemon.process == nullptr)
+        continue;
       if (daemon.duties == nullptr)
         daemon.duties = std::make_unique<Question>(
             base_.get(), Control(d), "duties",
@@ -379,19 +401,22 @@
   void HearDuties(int d, Micros asked, const std::string& answer) {
     const auto done = std::move(daemons_[d].duties);
     daemons_[d].holds = false;
-    if (answer.empty()) return;
+    if (answer.empty())
+      return;
     const nlohmann::json duties = nlohmann::json::parse(answer);
     daemons_[d].owned = duties.at("probing").at("owned");
     daemons_[d].probed = duties.at("probing").at("workers");
     const nlohmann::json& lease = duties.at("exclusive").at(0);
     daemons_[d].holds = lease.at("held");
-    if (daemons_[d].holds) See(What::kHolds, "", "", d, lease.at("term")).until = asked;
+    if (daemons_[d].holds)
+      See(What::kHolds, "", "", d, lease.at("term")).until = asked;
   }
 
   void HearMembers(int d, const std::string& answer) {
     const auto done = std::move(daemons_[d].members);
     daemons_[d].knows_all = false;
-    if (answer.empty()) return;
+    if (answer.empty())
+      return;
     const nlohmann::json members = nlohmann::json::parse(answer).at("members");
     daemons_[d].knows_all =
         std::ssize(members) == table_.dispatchers &&
@@ -400,7 +425,8 @@
 
   bool Agreed() const {
     int owned = 0;
-    for (const Daemon& d : daemons_) owned += d.owned;
+    for (const Daemon& d : daemons_)
+      owned += d.owned;
     return std::ranges::all_of(daemons_,
                                [owned](const Daemon& d) { return d.knows_all && d.probed == owned; }) &&
            std::ranges::any_of(daemons_, [](const Daemon& d) { return d.holds; });
@@ -428,8 +454,10 @@
     daemon.asking = false;
     daemon.process = std::make_unique<tests::DaemonUnderTest>(daemon.config, daemon.own, "ALDERSILL_SETTINGS",
                                                               " serving ", program_);
-    if (!daemon.process->ports().contains("http")) throw std::runtime_error("a dispatcher did not start");
-    if (table_.members) datagrams_->SetReal(d, daemon.process->ports().at("membership"));
+    if (!daemon.process->ports().contains("http"))
+      throw std::runtime_error("a dispatcher did not start");
+    if (table_.members)
+      datagrams_->SetReal(d, daemon.process->ports().at("membership"));
     daemon.state = State::kUp;
     See(What::kStarted, "", "", d);
     NoteAgents(d);
@@ -437,7 +465,8 @@
 
   // A question at a time, until the answer is yes.
   void AskReady(Daemon* daemon) {
-    if (daemon->restarted == 0 || daemon->asking || daemon->process == nullptr) return;
+    if (daemon->restarted == 0 || daemon->asking || daemon->process == nullptr)
+      return;
     daemon->asking = true;
     daemon->ready.reset(
         evhttp_connection_base_new(base_.get(), nullptr, "127.0.0.1", daemon->process->ports().at("http")));
@@ -451,21 +480,25 @@
   static void OnReady(evhttp_request* request, void* arg) {
     auto* daemon = static_cast<Daemon*>(arg);
     daemon->asking = false;
-    if (request == nullptr || evhttp_request_get_response_code(request) != 200) return;
+    if (request == nullptr || evhttp_request_get_response_code(request) != 200)
+      return;
     const Micros after = SteadyNow() - std::exchange(daemon->restarted, 0);
     daemon->play->See(What::kRestarted, "").until = after;
   }
 
   void Connect(IdleClient* c) {
     c->stream.reset();
-    if (SteadyNow() >= c->until) return;
+    if (SteadyNow() >= c->until)
+      return;
     c->again->Set(kIdleAgain);
-    if (daemons_[c->dispatcher].state != State::kUp) return;
+    if (daemons_[c->dispatcher].state != State::kUp)
+      return;
     c->stream.reset(bufferevent_socket_new(base_.get(), -1, BEV_OPT_CLOSE_ON_FREE));
     const sockaddr_in to = ToSockaddr({"127.0.0.1", daemons_[c->dispatcher].process->ports().at("http")});
     bufferevent_setcb(c->stream.get(), nullptr, nullptr, &Play_::OnIdleEvent, c);
     const std::string head = "POST / HTTP/1.1\r\nHost: ";
-    if (c->half) bufferevent_write(c->stream.get(), head.data(), head.size());
+    if (c->half)
+      bufferevent_write(c->stream.get(), head.data(), head.size());
     bufferevent_enable(c->stream.get(), EV_READ | EV_WRITE);
     c->again->Set(c->until - SteadyNow());
     bufferevent_socket_connect(c->stream.get(), reinterpret_cast<const sockaddr*>(&to), sizeof(to));
@@ -486,7 +519,8 @@
     // Done to the link or links at once, and undone after its time.
     const auto on_links = [&](auto change, auto undo) {
       for (int w = 0; w < table_.workers; ++w) {
-        if (f.worker >= 0 && w != f.worker) continue;
+        if (f.worker >= 0 && w != f.worker)
+          continue;
         Relay* link = links_[f.dispatcher][w].get();
         change(link);
         later([link, undo] { undo(link); });
@@ -494,7 +528,8 @@
     };
     const auto on_datagrams = [&](auto change, auto undo) {
       for (int d = 0; datagrams_ != nullptr && d < table_.dispatchers; ++d) {
-        if (f.worker >= 0 && d != f.worker) continue;
+        if (f.worker >= 0 && d != f.worker)
+          continue;
         auto* trouble = &datagrams_->trouble(f.dispatcher, d);
         change(trouble);
         later([trouble, undo] { undo(trouble); });
@@ -502,7 +537,8 @@
     };
     const bool on_process =
         f.kind <= FaultKind::kPause || f.kind == FaultKind::kMove || f.kind == FaultKind::kRestingRequests;
-    if (on_process && daemon.state != State::kUp) return;  // it has its trouble already
+    if (on_process && daemon.state != State::kUp)
+      return;  // it has its trouble already
     ++run_.carried_out;
     switch (f.kind) {
       case FaultKind::kKill:
@@ -542,7 +578,8 @@
         for (int ms = 0; ms <= f.for_ms; ms += kResetEveryMs)
           At(ms, [this, f] {
             for (int w = 0; w < table_.workers; ++w) {
-              if (f.worker < 0 || w == f.worker) links_[f.dispatcher][w]->Reset();
+              if (f.worker < 0 || w == f.worker)
+                links_[f.dispatcher][w]->Reset();
             }
           });
         break;
@@ -550,7 +587,8 @@
         workers_[f.worker]->hangs_until = SteadyNow() + f.for_ms * kMillisecond;
         break;
       case FaultKind::kDrain:
-        if (!draining_.insert(f.worker).second) return;
+        if (!draining_.insert(f.worker).second)
+          return;
         Change(f.worker, "DRAINING");
         At(f.for_ms / 2, [this, w = f.worker] { Change(w, "DELETED"); });
         later([this, w = f.worker] {
@@ -565,8 +603,10 @@
         auto& of_dispatcher = discoveries_[f.dispatcher];
         StandInDiscovery* left = of_dispatcher.back().get();
         of_dispatcher.push_back(MakeDiscovery(f.dispatcher, left->list(), 1'000 * of_dispatcher.size()));
-        if (down_ == 0) See(What::kReachable, "", "", f.dispatcher, 0, 1);
-        if (down_ > 0) of_dispatcher.back()->Down(true);
+        if (down_ == 0)
+          See(What::kReachable, "", "", f.dispatcher, 0, 1);
+        if (down_ > 0)
+          of_dispatcher.back()->Down(true);
         daemon.config["discovery"] = "127.0.0.1:" + std::to_string(of_dispatcher.back()->port());
         daemon.process->Write(daemon.config.dump(), daemon.own);
         daemon.process->Signal(SIGHUP);
@@ -576,17 +616,20 @@
       case FaultKind::kListErrors:
       case FaultKind::kListLosses:
       case FaultKind::kListRefused: {
-        if (deployment_.pushed) return;  // an agent's calls do not fail
+        if (deployment_.pushed)
+          return;  // an agent's calls do not fail
         using Trouble = StandInDiscovery::Trouble;
         StandInDiscovery* discovery = discoveries_[f.dispatcher].back().get();
         const bool refused = f.kind == FaultKind::kListRefused;
-        if (refused) See(What::kReachable, "", "", f.dispatcher, 0, 0);
+        if (refused)
+          See(What::kReachable, "", "", f.dispatcher, 0, 0);
         discovery->Fail(refused                            ? Trouble::kRefused
                         : f.kind == FaultKind::kListErrors ? Trouble::kErrors
                                                            : Trouble::kLosses);
         later([this, discovery, d = f.dispatcher] {
           discovery->Fail(Trouble::kNone);
-          if (down_ == 0) See(What::kReachable, "", "", d, 0, 1);
+          if (down_ == 0)
+            See(What::kReachable, "", "", d, 0, 1);
         });
         break;
       }
@@ -595,7 +638,8 @@
         break;
       case FaultKind::kLeave:
         for (const auto& client : clients_) {
-          if (client->dispatcher == f.dispatcher) Leave(client.get(), f.amount);
+          if (client->dispatcher == f.dispatcher)
+            Leave(client.get(), f.amount);
         }
         break;
       case FaultKind::kRestingRequests:
@@ -656,13 +700,16 @@
     const std::uint32_t draw = jobs_();
     std::vector<int> up;
     for (int d = 0; d < table_.dispatchers; ++d) {
-      if (daemons_[d].state == State::kUp) up.push_back(d);
+      if (daemons_[d].state == State::kUp)
+        up.push_back(d);
     }
-    if (up.empty()) return;
+    if (up.empty())
+      return;
     const int d = up[draw % up.size()];
     Client* client = AddClient(job_class, tenant, deadline_ms, number, d);
     ++waiting_;
-    if (leaves) At(leaves_ms, [this, client] { Leave(client, 0); });
+    if (leaves)
+      At(leaves_ms, [this, client] { Leave(client, 0); });
     Post(client);
   }
 
@@ -697,7 +744,8 @@
     evhttp_add_header(headers, "Req-Kind", job_class.name.c_str());
     evhttp_add_header(headers, "Req-Owner", client->tenant.c_str());
     evhttp_add_header(headers, "Req-Deadline", (std::to_string(client->deadline_ms) + "m").c_str());
-    if (job_class.keyed) evhttp_add_header(headers, "Idempotency-Key", client->id.c_str());
+    if (job_class.keyed)
+      evhttp_add_header(headers, "Idempotency-Key", client->id.c_str());
     if (deployment_.figures) {
       evhttp_add_header(headers, "Req-Cost",
                         std::to_string((job_class.least_ms + job_class.most_ms) * 500).c_str());
@@ -726,7 +774,8 @@
     }
     At(kRestMs, [this, f, resting] {
       Daemon& daemon = daemons_[f.dispatcher];
-      if (daemon.state != State::kUp) return;  // it has its trouble already
+      if (daemon.state != State::kUp)
+        return;  // it has its trouble already
       daemon.state = State::kEnding;
       After(10, [this, &daemon, f, resting] {
         const auto send = [this](Client* c) {
@@ -734,7 +783,8 @@
           Post(c);
         };
         for (std::size_t i = 0; i < resting.size(); ++i) {
-          if (i == resting.size() / 2) daemon.process->Signal(SIGTERM);
+          if (i == resting.size() / 2)
+            daemon.process->Signal(SIGTERM);
           if (i % 4 != 3) {
             send(resting[i]);
           } else {
@@ -747,12 +797,14 @@
 
   // It got no byte of an answer on a connection that had rested: once more, elsewhere.
   bool AskElsewhere(Client* client) {
-    if (!std::exchange(client->rests, false)) return false;
+    if (!std::exchange(client->rests, false))
+      return false;
     const int from = client->dispatcher;
     See(What::kCrossed, client->id, "", from);
     for (int i = 1; i < table_.dispatchers; ++i) {
       const int d = (from + i) % table_.dispatchers;
-      if (daemons_[d].state != State::kUp) continue;
+      if (daemons_[d].state != State::kUp)
+        continue;
       ++run_.crossed;
       Connect(client, d);
       Post(client);
@@ -763,10 +815,12 @@
 
   static void OnAnswer(evhttp_request* request, void* arg) {
     auto* client = static_cast<Client*>(arg);
-    if (client->over) return;
+    if (client->over)
+      return;
     const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
     if (status == 0) {
-      if (!client->play->AskElsewhere(client)) client->play->Over(client);
+      if (!client->play->AskElsewhere(client))
+        client->play->Over(client);
       return;
     }
     evbuffer* body = evhttp_request_get_input_buffer(request);
@@ -779,14 +833,16 @@
   }
 
   void Over(Client* client) {
-    if (std::exchange(client->over, true)) return;
+    if (std::exchange(client->over, true))
+      return;
     --waiting_;
     See(What::kBroken, client->id);
   }
 
   // `how`: 0 closes, 1 resets; 2 and 3 send much before that.
   void Leave(Client* client, int how) {
-    if (std::exchange(client->over, true)) return;
+    if (std::exchange(client->over, true))
+      return;
     const int fd = bufferevent_getfd(evhttp_connection_get_bufferevent(client->connection.get()));
     if (how >= 2) {
       const std::string much(kFlood, 'x');
@@ -795,7 +851,8 @@
       run_.flooded += taken > 0;
     }
     const linger at_once{1, 0};
-    if (how % 2 == 1) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+    if (how % 2 == 1)
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
     --waiting_;
     last_answer_ = SteadyNow();
     See(What::kLeft, client->id);
@@ -814,11 +871,14 @@
     NoteClosed();
     for (int d = 0; d < table_.dispatchers; ++d) {
       Daemon& daemon = daemons_[d];
-      if (daemon.process == nullptr) continue;
+      if (daemon.process == nullptr)
+        continue;
       AskReady(&daemon);
       const std::optional<int> end = daemon.process->Ended();
-      if (!end) continue;
-      if (daemon.state != State::kEnding || *end != 0) ++run_.bad_ends;
+      if (!end)
+        continue;
+      if (daemon.state != State::kEnding || *end != 0)
+        ++run_.bad_ends;
       daemon.process.reset();
       StartDaemon(d);
     }
@@ -833,8 +893,10 @@
              SteadyNow() - d.restarted > deployment_.rules.ready_within + deployment_.rules.slack;
     });
     const bool over = asked && settled && ready && waiting_ == 0 && (stopped || overdue);
-    if (over && over_since_ == 0) over_since_ = Now();
-    if (over) run_.agreed = !table_.members || Agreed();
+    if (over && over_since_ == 0)
+      over_since_ = Now();
+    if (over)
+      run_.agreed = !table_.members || Agreed();
     if (over && (run_.agreed || Now() - over_since_ > kAgreeWithin)) {
       event_base_loopbreak(base_.get());
       return;
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -33,7 +33,8 @@
   const Deployment deployment = ReadDeployment(table.deployment, table.crossing);
   const Run run = Play(table, deployment, program);
   Judgement j = Judge(run.seen, deployment.rules);
-  if (run.bad_ends > 0) j.broken.push_back("a dispatcher ended by itself, or after SIGTERM not with 0");
+  if (run.bad_ends > 0)
+    j.broken.push_back("a dispatcher ended by itself, or after SIGTERM not with 0");
   if (!run.agreed)
     j.broken.push_back(
         "with all faults over, dispatchers did not come to know one another, one to hold the duty, and each "
@@ -53,9 +54,11 @@
         j.broken.empty() ? "" : ": BROKEN");
   for (std::size_t k = 0; tell && k < std::min(j.broken.size(), kMostLines); ++k) {
     std::printf("  %s\n", j.broken[k].c_str());
-    if (k < kMostStories) TellStory(run.seen, j.broken[k]);
+    if (k < kMostStories)
+      TellStory(run.seen, j.broken[k]);
   }
-  if (tell && j.broken.size() > kMostLines) std::printf("  and %zu more\n", j.broken.size() - kMostLines);
+  if (tell && j.broken.size() > kMostLines)
+    std::printf("  and %zu more\n", j.broken.size() - kMostLines);
   std::fflush(stdout);
   return j.broken;
 }
@@ -64,7 +67,8 @@
   for (std::size_t at = table.faults.size(); at-- > 0;) {
     Timetable fewer = table;
     fewer.faults.erase(fewer.faults.begin() + static_cast<std::ptrdiff_t>(at));
-    if (!Broken(fewer, program, false).empty()) table = std::move(fewer);
+    if (!Broken(fewer, program, false).empty())
+      table = std::move(fewer);
   }
   return table;
 }
@@ -102,10 +106,13 @@
         table = FromYaml({std::istreambuf_iterator<char>(in), {}});
       }
       const std::vector<std::string> broken = Broken(table, program, true);
-      if (broken.empty()) continue;
+      if (broken.empty())
+        continue;
       const auto is_meant = [&](const std::string& line) { return line.find(rule) != std::string::npos; };
-      if (planted && std::ranges::any_of(broken, is_meant)) return 0;
-      if (planted) continue;
+      if (planted && std::ranges::any_of(broken, is_meant))
+        return 0;
+      if (planted)
+        continue;
       std::cout << "as a timetable, to be played with --timetable:\n"
                 << ToYaml(cut_down ? CutDown(table, program) : table);
       return 1;
--- a/tests/fleet/question.cpp
+++ b/tests/fleet/question.cpp
@@ -33,21 +33,24 @@
 void Question::OnRead(bufferevent* stream, void* arg) {
   std::size_t size = 0;
   char* line = evbuffer_readln(bufferevent_get_input(stream), &size, EVBUFFER_EOL_LF);
-  if (line == nullptr) return;
+  if (line == nullptr)
+    return;
   std::string answer(line, size);
   std::free(line);
   static_cast<Question*>(arg)->End(std::move(answer));
 }
 
 void Question::OnEvent(bufferevent*, short what, void* arg) {
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) static_cast<Question*>(arg)->End("");
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0)
+    static_cast<Question*>(arg)->End("");
 }
 
 void Question::End(std::string answer) {
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
   refused_.Clear();
   const Done done = std::exchange(done_, nullptr);
-  if (done) done(answer);
+  if (done)
+    done(answer);
 }
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/timetable.cpp
+++ b/tests/fleet/timetable.cpp
@@ -52,7 +52,8 @@
 int Number(const YAML::Node& node, const char* field, int least, int most) {
   const YAML::Node value = node[field];
   const std::string line = "line " + std::to_string(node.Mark().line + 1) + ": " + field;
-  if (!value) throw std::runtime_error(line + " is missing");
+  if (!value)
+    throw std::runtime_error(line + " is missing");
   int number = 0;
   if (!YAML::convert<int>::decode(value, number) || number < least || number > most)
     throw std::runtime_error(line + " must be a whole number from " + std::to_string(least) + " to " +
@@ -82,13 +83,16 @@
     case 2:
     case 8: {
       const int at_ms = Between(random, 800, 1'500);
-      for (int i = 0; i < 2; ++i) add(FaultKind::kHang, at_ms - 100, 0, (worker + i) % table->workers, 800);
-      for (int i = 0; i < 3; ++i) add(FaultKind::kTerminate, at_ms + 50 * i, first + i, -1, 0);
+      for (int i = 0; i < 2; ++i)
+        add(FaultKind::kHang, at_ms - 100, 0, (worker + i) % table->workers, 800);
+      for (int i = 0; i < 3; ++i)
+        add(FaultKind::kTerminate, at_ms + 50 * i, first + i, -1, 0);
       add(FaultKind::kRestingRequests, at_ms, first + 3, -1, 40, 40);
       break;
     }
     case 5: {
-      if (table->deployment == "consortium") break;  // an agent's calls do not fail
+      if (table->deployment == "consortium")
+        break;  // an agent's calls do not fail
       table->length_ms = kFailingLength;
       table->requests = 900;
       const int drains_ms = Between(random, 700, 900);
@@ -105,7 +109,8 @@
             table->faults, [w](const Fault& f) { return f.kind == FaultKind::kDrain && f.worker == w; });
       };
       for (int w = worker, left = 2; w < worker + table->workers && left > 0; ++w) {
-        if (drains(w % table->workers)) continue;
+        if (drains(w % table->workers))
+          continue;
         add(FaultKind::kDrain, drains_ms, 0, w % table->workers, 2 * kFailingLength);
         --left;
       }
@@ -115,7 +120,8 @@
       table->crossing = Crossing::kIdle;
       const int at_ms = Between(random, 300, 800);
       add(FaultKind::kDown, at_ms, 0, -1, 1'500);
-      for (int i = 0; i < 6; ++i) add(FaultKind::kIdleClients, at_ms, first + i, -1, 1'500, 60);
+      for (int i = 0; i < 6; ++i)
+        add(FaultKind::kIdleClients, at_ms, first + i, -1, 1'500, 60);
       break;
     }
     case 7:
@@ -215,14 +221,16 @@
 Timetable FromYaml(const std::string& text) {
   try {
     const YAML::Node root = YAML::Load(text);
-    if (!root.IsMap()) throw std::runtime_error("a timetable must be a map");
+    if (!root.IsMap())
+      throw std::runtime_error("a timetable must be a map");
     Timetable t;
     if (!root["seed"] || !YAML::convert<std::uint64_t>::decode(root["seed"], t.seed))
       throw std::runtime_error("seed must be a whole number");
     t.deployment = root["deployment"] ? root["deployment"].as<std::string>() : "first";
     const std::string crossing = root["crossing"] ? root["crossing"].as<std::string>() : kCrossings[0];
     const auto meant = std::ranges::find(kCrossings, crossing);
-    if (meant == kCrossings.end()) throw std::runtime_error("crossing '" + crossing + "' is unknown");
+    if (meant == kCrossings.end())
+      throw std::runtime_error("crossing '" + crossing + "' is unknown");
     t.crossing = static_cast<Crossing>(meant - kCrossings.begin());
     t.members = root["members"] && root["members"].as<bool>();
     t.dispatchers = Number(root, "dispatchers", 1, 100);
--- a/tests/fleet_table/totals_test.cpp
+++ b/tests/fleet_table/totals_test.cpp
@@ -14,7 +14,8 @@
   for (const std::string node : {"n0", "n1"}) {
     std::ifstream file(ALDERSILL_RECORDED "/" + node + ".log");
     REQUIRE(file);
-    for (std::string line; std::getline(file, line);) totals.Add(node, line);
+    for (std::string line; std::getline(file, line);)
+      totals.Add(node, line);
   }
   return totals.Result();
 }
--- a/tests/floors_test.cpp
+++ b/tests/floors_test.cpp
@@ -53,7 +53,8 @@
     all_parts += parts.back();
     s.classes.push_back(c);
   }
-  for (int k = 0; k < classes; ++k) mean += parts[k] / all_parts * runs[k];
+  for (int k = 0; k < classes; ++k)
+    mean += parts[k] / all_parts * runs[k];
   const int boxes = 10, slots = 3;
   const double able = boxes * slots / mean;  // jobs a microsecond
   const int tenants = 1 + random() % 6;
@@ -67,7 +68,8 @@
   }
   Driver d(s, seed);
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < boxes; ++i) workers.push_back(Entry("w" + std::to_string(i)));
+  for (int i = 0; i < boxes; ++i)
+    workers.push_back(Entry("w" + std::to_string(i)));
   d.List(workers);
   Day day;
   struct Running {
@@ -82,7 +84,8 @@
   std::vector<int> klass, tenant, attempts;
   std::vector<bool> counted;
   double all_asks = 0.0;
-  for (const double a : asks) all_asks += a;
+  for (const double a : asks)
+    all_asks += a;
   const auto take = [&](const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
@@ -98,7 +101,8 @@
         std::push_heap(running.begin(), running.end());
       } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
         const int id = static_cast<int>(static_cast<std::uint64_t>(refuse->request));
-        if (!counted[id]) continue;
+        if (!counted[id])
+          continue;
         ++day.all.refused;
         ++day.classes[s.classes[klass[id]].name].refused;
         ++day.tenants[s.tenants[tenant[id]].name].refused;
@@ -133,7 +137,8 @@
   }
   // What a tenant asks beyond its share is not its floor's.
   for (int t = 0; t < tenants; ++t) {
-    if (asks[t] / all_asks * load > s.tenants[t].share * 0.85) day.tenants.erase(s.tenants[t].name);
+    if (asks[t] / all_asks * load > s.tenants[t].share * 0.85)
+      day.tenants.erase(s.tenants[t].name);
   }
   return day;
 }
@@ -146,13 +151,15 @@
       const Day day = PlayDay(nodes, load, seed);
       refused += day.all.share() / seeds;
       for (const auto& [name, count] : day.classes) {
-        if (count.asked * 20 < day.all.asked) continue;
+        if (count.asked * 20 < day.all.asked)
+          continue;
         worst_class = std::max(worst_class, count.share());
         EXPECT_LE(count.share(), bound)
             << nodes << " nodes, load " << load << ", seed " << seed << ' ' << name;
       }
       for (const auto& [name, count] : day.tenants) {
-        if (count.asked * 20 < day.all.asked) continue;
+        if (count.asked * 20 < day.all.asked)
+          continue;
         worst_tenant = std::max(worst_tenant, count.share());
         EXPECT_LE(count.share(), bound)
             << nodes << " nodes, load " << load << ", seed " << seed << ' ' << name;
