--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -42,7 +42,8 @@
   s.tells_start = draw(2) == 0;
   s.reports = static_cast<Settings::Reports>(draw(3));
   s.classes[1].scope = static_cast<KeyScope>(draw(3));
-  if (draw(2) == 0) s.tenants = {{"t0", 0.7, 30.0}, {"t1", 0.3, 20.0}};
+  if (draw(2) == 0)
+    s.tenants = {{"t0", 0.7, 30.0}, {"t1", 0.3, 20.0}};
   Driver d(s, random());
   std::map<std::string, bool> ready;
   std::map<RequestId, Ledger> ledgers;
@@ -58,11 +59,14 @@
         ASSERT_LT(static_cast<int>(l.sent.size()), s.max_attempts);
         for (const Ledger::Sent& a : l.sent) {
           ASSERT_TRUE(!a.open || s.second_copies);
-          if (!a.may_have_run) continue;
+          if (!a.may_have_run)
+            continue;
           ASSERT_NE(l.klass, "unsafe");
-          if (l.klass != "keyed") continue;
+          if (l.klass != "keyed")
+            continue;
           ASSERT_LT(d.now - a.at, s.classes[1].window);
-          if (s.classes[1].scope == KeyScope::kAll) continue;
+          if (s.classes[1].scope == KeyScope::kAll)
+            continue;
           ASSERT_EQ(index(a.worker) % 2, index(send->worker) % 2);
           if (s.classes[1].scope == KeyScope::kCell) {
             ASSERT_EQ(index(a.worker) % 4, index(send->worker) % 4);
@@ -75,7 +79,8 @@
         l.ended = true;
         const bool harmless =
             l.klass == "repeatable" || (l.klass == "keyed" && s.classes[1].scope == KeyScope::kAll);
-        for (const Ledger::Sent& a : l.sent) ASSERT_TRUE(harmless || !a.may_have_run);
+        for (const Ledger::Sent& a : l.sent)
+          ASSERT_TRUE(harmless || !a.may_have_run);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         ASSERT_FALSE(ledgers.at(fail->request).ended) << "two final answers";
         ledgers.at(fail->request).ended = true;
@@ -101,12 +106,15 @@
       case 0: {
         std::vector<WorkerEntry> entries;
         const bool full = draw(4) == 0;
-        if (full) ready.clear();
+        if (full)
+          ready.clear();
         for (int i = 0; i < kWorkers; ++i) {
-          if (draw(3) > 0) continue;
+          if (draw(3) > 0)
+            continue;
           WorkerEntry e = Entry("w" + std::to_string(i), zone(i), i % 4, i % 3 == 0 ? "crate" : "box");
           e.state = static_cast<WorkerEntry::State>(draw(full ? 2 : 3));
-          if (draw(3) == 0) e.since = d.now - draw(30 * kSecond);
+          if (draw(3) == 0)
+            e.since = d.now - draw(30 * kSecond);
           ready[e.worker] = e.state == WorkerEntry::State::kReady;
           entries.push_back(e);
         }
@@ -118,7 +126,8 @@
         break;
       case 2:
       case 3: {
-        if (known != ledgers.end()) break;
+        if (known != ledgers.end())
+          break;
         Ledger& l = ledgers[id];
         l.klass = kClasses[draw(4)];
         const Micros left = draw(2 * kSecond);
@@ -129,7 +138,8 @@
         a.tenant = draw(5) == 0 ? "stranger" : "t" + std::to_string(draw(2));
         a.time_left = left;
         a.slots = 1 + draw(3);
-        if (draw(2) == 0) a.key = draw(10);
+        if (draw(2) == 0)
+          a.key = draw(10);
         check(d.Do(a));
         break;
       }
@@ -139,7 +149,8 @@
         e.request = id;
         e.attempt = draw(3);
         e.outcome = static_cast<Outcome>(draw(8));
-        if (draw(2) == 0) e.report.free_slots = draw(6);
+        if (draw(2) == 0)
+          e.report.free_slots = draw(6);
         if (known != ledgers.end() && e.attempt < static_cast<int>(known->second.sent.size())) {
           Ledger& l = known->second;
           Ledger::Sent& a = l.sent[e.attempt];
@@ -159,7 +170,8 @@
         break;
       case 7:
         if (draw(5) == 0) {
-          if (known != ledgers.end()) known->second.ended = true;
+          if (known != ledgers.end())
+            known->second.ended = true;
           check(d.Do(ClientGone{id}));
         } else if (draw(2) == 0) {
           check(d.Do(TimerFired{random() >> draw(64)}));  // a token that was never set
@@ -170,7 +182,8 @@
     }
   }
   check(d.Advance(d.now + 10 * kSecond));
-  for (const auto& [id, l] : ledgers) EXPECT_TRUE(l.ended) << static_cast<std::uint64_t>(id);
+  for (const auto& [id, l] : ledgers)
+    EXPECT_TRUE(l.ended) << static_cast<std::uint64_t>(id);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Range<std::uint64_t>(1, 61));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -62,7 +62,8 @@
   Driver d(s);
   d.List({Entry("a"), Entry("b")});
   int id = 0;
-  while (Count<Send>(d.Arrive(++id, "unsafe", 5 * kSecond, 1, "only")) > 0) continue;
+  while (Count<Send>(d.Arrive(++id, "unsafe", 5 * kSecond, 1, "only")) > 0)
+    continue;
   ASSERT_EQ(Count<Refuse>(d.all), 0);  // the last one is held
   d.now += kSecond;
   ClientGone gone;
@@ -83,7 +84,8 @@
 
 TEST(RuleOneAnswer, AStreamHasNoDeadline) {
   Settings s = BasicSettings();
-  for (ClassSettings& c : s.classes) c.streaming = true;
+  for (ClassSettings& c : s.classes)
+    c.streaming = true;
   Driver d(s);
   d.List({Entry("a")});
   d.Arrive(1, "unsafe", kSecond);
@@ -221,7 +223,8 @@
         d.Advance(d.now + kSecond / 10);
       }
       EXPECT_GT(Count<Send>(d.all), 0);
-      for (const Send& send : Only<Send>(d.all)) EXPECT_EQ(send.worker, "b");
+      for (const Send& send : Only<Send>(d.all))
+        EXPECT_EQ(send.worker, "b");
     }
   }
 }
@@ -231,8 +234,10 @@
   d.List({Entry("a"), Entry("b")});
   d.List({Entry("b")});
   d.all.clear();
-  for (int id = 1; id < 50; ++id) d.Arrive(id, "repeatable");
-  for (const Send& send : Only<Send>(d.all)) EXPECT_EQ(send.worker, "b");
+  for (int id = 1; id < 50; ++id)
+    d.Arrive(id, "repeatable");
+  for (const Send& send : Only<Send>(d.all))
+    EXPECT_EQ(send.worker, "b");
 }
 
 TEST(RuleDrains, HeldAndRepeatedJobsHeedADrainToo) {
@@ -244,7 +249,8 @@
   WorkerEntry leaving = Entry(first == "a" ? "b" : "a");
   leaving.state = WorkerEntry::State::kDraining;
   d.List({leaving}, WorkerList::Form::kDelta);
-  for (const Send& send : Only<Send>(d.End(1, 0, Outcome::kFull))) EXPECT_EQ(send.worker, first);
+  for (const Send& send : Only<Send>(d.End(1, 0, Outcome::kFull)))
+    EXPECT_EQ(send.worker, first);
 }
 
 TEST(RuleDrains, SubscribesAndAsksAgainUntilAnswered) {
@@ -271,7 +277,8 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Driver d(s, seed);
     const auto actions = d.List({Entry("a")}, WorkerList::Form::kCached);
-    for (const SetTimer& t : Only<SetTimer>(actions)) delays.insert(t.delay);
+    for (const SetTimer& t : Only<SetTimer>(actions))
+      delays.insert(t.delay);
   }
   EXPECT_GT(delays.size(), 15u);
 }
@@ -300,7 +307,8 @@
         auto actions = d.Advance(d.now + kSecond * nodes / 1000);
         const auto more = d.Arrive(id, "unsafe");
         actions.insert(actions.end(), more.begin(), more.end());
-        for (std::size_t n = Only<Send>(actions).size(); n > 0; --n) sends.push_back(d.now - start);
+        for (std::size_t n = Only<Send>(actions).size(); n > 0; --n)
+          sends.push_back(d.now - start);
       }
     }
     EXPECT_FALSE(sends.empty());
@@ -308,7 +316,8 @@
     // One slot, as no report said otherwise; an unknown job counts as the class's target.
     const double job = s.classes[2].target;
     for (std::size_t first = 0, last = 0; last < sends.size(); ++last) {
-      while (sends[last] - sends[first] > s.fall) ++first;
+      while (sends[last] - sends[first] > s.fall)
+        ++first;
       const double able =
           s.cold_share + (1.0 - s.cold_share) * static_cast<double>(sends[first]) / s.warm_after;
       const double bound = s.overload_factor * able * s.fall;
@@ -367,7 +376,8 @@
     std::vector<WorkerEntry> workers;
     for (int i = 0; i < 60; ++i) {
       workers.push_back(Entry((i < 36 ? "cold" : "warm") + std::to_string(i), i % 2 == 0 ? "near" : "far"));
-      if (i < 36) workers.back().since = d.now;
+      if (i < 36)
+        workers.back().since = d.now;
     }
     d.List(workers);
     std::mt19937_64 random(node);
@@ -375,7 +385,8 @@
     const Micros warm = d.now + s.warm_after;
     for (int id = 1;; ++id) {
       d.Advance(d.now + static_cast<Micros>(gap(random) * kSecond));
-      if (d.now >= warm) break;
+      if (d.now >= warm)
+        break;
       const bool is_long = random() % 2 == 0;
       for (const Send& send : Only<Send>(d.Arrive(id, is_long ? "repeatable" : "unsafe"))) {
         to_cold[is_long] += send.worker.starts_with("cold");
@@ -384,7 +395,7 @@
       }
     }
   }
-  EXPECT_GT(to_cold[0], 40);              // of some 450; by turns it was none
+  EXPECT_GT(to_cold[0], 40);  // of some 450; by turns it was none
   EXPECT_EQ(to_cold[1], 0);   // few long ones make a cluster
 }
 
@@ -410,8 +421,10 @@
     const Micros until = d.now + s.fall;
     for (int id = 1;; ++id) {
       d.Advance(d.now + 10 + static_cast<Micros>(gap(random) * kSecond));
-      if (d.now >= until) break;
-      for (const Send& send : Only<Send>(d.Arrive(id, "unsafe"))) to_last += send.worker == "last0";
+      if (d.now >= until)
+        break;
+      for (const Send& send : Only<Send>(d.Arrive(id, "unsafe")))
+        to_last += send.worker == "last0";
     }
   }
   const double able = s.cold_share + (1.0 - s.cold_share) * 2.0 / 9.0;
--- a/tests/throttle_test.cpp
+++ b/tests/throttle_test.cpp
@@ -29,9 +29,11 @@
   d.List({Entry("w")});
   for (int i = 0;; ++i) {
     const auto actions = d.Arrive(i, "repeatable", 1000 * kSecond, 1, "only");
-    if (Count<Send>(actions) > 0) continue;
+    if (Count<Send>(actions) > 0)
+      continue;
     Micros soonest = 1000 * kSecond;
-    for (const SetTimer& t : Only<SetTimer>(actions)) soonest = std::min(soonest, t.delay);
+    for (const SetTimer& t : Only<SetTimer>(actions))
+      soonest = std::min(soonest, t.delay);
     return d.now + soonest;
   }
 }
@@ -43,7 +45,8 @@
   d.List({Entry("w")});
   const auto arrive = [&](int id) { return d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only"); };
   // Six tokens in the bank: six jobs leave at once, the others wait.
-  for (int id = 1; id <= 6; ++id) EXPECT_EQ(Count<Send>(arrive(id)), 1) << id;
+  for (int id = 1; id <= 6; ++id)
+    EXPECT_EQ(Count<Send>(arrive(id)), 1) << id;
   EXPECT_EQ(Count<Send>(arrive(7)), 0);
   EXPECT_EQ(Count<Send>(arrive(8)), 0);
   // The first token pays job 7, the next pays job 8: first come, first served.
@@ -55,7 +58,8 @@
   EXPECT_EQ(second[0].request, RequestId{8});
   // Thirteen tokens come to an empty buffer: twelve fit in the bank, the last is lost.
   d.Advance(token + 14 * kSecond);
-  for (int id = 9; id < 21; ++id) EXPECT_EQ(Count<Send>(arrive(id)), 1) << id;
+  for (int id = 9; id < 21; ++id)
+    EXPECT_EQ(Count<Send>(arrive(id)), 1) << id;
   EXPECT_EQ(Count<Send>(arrive(21)), 0);
 }
 
@@ -83,7 +87,8 @@
   Driver d(s, 5);
   d.List({Entry("w")});
   int id = 1;
-  while (Count<Send>(d.Arrive(id, "unsafe", 1000 * kSecond, 1, "only")) == 1) ++id;
+  while (Count<Send>(d.Arrive(id, "unsafe", 1000 * kSecond, 1, "only")) == 1)
+    ++id;
   const auto actions = d.Advance(d.now + kSecond / 10);
   EXPECT_EQ(Count<Refuse>(actions) + Count<Send>(actions), 1);
 }
@@ -103,12 +108,14 @@
     for (int id = 0; id < 500; ++id) {
       const Micros at = d.now + static_cast<Micros>(random() % (2 * kSecond));
       const int released = Count<Send>(d.Advance(at));
-      for (; token <= at; token += kSecond) u = std::min(bank + buffer, u + 1);
+      for (; token <= at; token += kSecond)
+        u = std::min(bank + buffer, u + 1);
       held -= released;
       ASSERT_EQ(held, std::max(0, buffer - u)) << "seed " << seed << " job " << id;
       const auto actions = d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only");
       ASSERT_EQ(Count<Refuse>(actions), u < 1 ? 1 : 0) << "seed " << seed << " job " << id;
-      if (u >= 1) --u;
+      if (u >= 1)
+        --u;
       held += Count<Refuse>(actions) == 0 && Count<Send>(actions) == 0;
     }
   }
@@ -214,7 +221,8 @@
     s.retry_after = heeded;
     Driver d(s, 4);
     d.List({Entry("w")});
-    for (int id = 0; id < 20; ++id) d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only");
+    for (int id = 0; id < 20; ++id)
+      d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only");
     const auto refusals = Only<Refuse>(d.all);
     ASSERT_FALSE(refusals.empty());
     for (const Refuse& r : refusals) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -147,11 +147,13 @@
 
 TEST(Wire, LongBatchesAreServedWhole) {
   std::string events;
-  for (int i = 1; i <= 20'000; ++i) events += Ingress(3, i, "safe");
+  for (int i = 1; i <= 20'000; ++i)
+    events += Ingress(3, i, "safe");
   const Played run = Play(Turn(1, Born(3, 7)) + Turn(2, events));
   EXPECT_EQ(run.code, 0);
   std::size_t answers = 0;
-  for (std::size_t at = 0; (at = run.out.find("shed\twho", at)) != std::string::npos; ++at) ++answers;
+  for (std::size_t at = 0; (at = run.out.find("shed\twho", at)) != std::string::npos; ++at)
+    ++answers;
   EXPECT_GT(answers, 19'000u);
 }
 
@@ -161,7 +163,8 @@
   std::string kept;
   const std::string mark = "\twho=" + std::to_string(who) + "\t";
   for (std::string line; std::getline(in, line);) {
-    if (line.find(mark) != std::string::npos) kept += line + "\n";
+    if (line.find(mark) != std::string::npos)
+      kept += line + "\n";
   }
   return kept;
 }
@@ -173,8 +176,10 @@
     std::string all;
     for (int who = 0; who < 3; ++who) {
       std::string events;
-      if (serial == 1) events = Born(who, 100 + who);
-      if (serial > 1) events += Ingress(who, serial * 3 + who, serial % 2 == 0 ? "safe" : "once");
+      if (serial == 1)
+        events = Born(who, 100 + who);
+      if (serial > 1)
+        events += Ingress(who, serial * 3 + who, serial % 2 == 0 ? "safe" : "once");
       if (serial % 7 == who) {
         events += "settled\twho=" + std::to_string(who) + "\treq=" + std::to_string((serial - 1) * 3 + who) +
                   "\texecutor=x1\tshot=0\telapsed=900\tresult=" + (serial % 3 == 0 ? "shed" : "app_error") +
--- a/tools/faktory_standin.cpp
+++ b/tools/faktory_standin.cpp
@@ -14,8 +14,10 @@
 
 int Push(std::uint16_t port, int argc, char** argv) {
   nlohmann::json job = {{"jid", argv[4]}, {"jobtype", argv[3]}, {"args", nlohmann::json::array()}};
-  if (argc > 5) job["custom"]["tenant"] = argv[5];
-  if (argc > 6) job["custom"]["deadline_ms"] = std::stoi(argv[6]);
+  if (argc > 5)
+    job["custom"]["tenant"] = argv[5];
+  if (argc > 6)
+    job["custom"]["deadline_ms"] = std::stoi(argv[6]);
   aldersill::tools::FaktorySession session(port);
   const std::string reply = session.Ask("PUSH " + job.dump()).value_or("null");
   std::printf("%s\n", reply.c_str());
@@ -28,7 +30,8 @@
   aldersill::tools::FaktorySession session(port, argv[3]);
   for (int done = 0; done < jobs;) {
     const auto fetched = session.Ask("FETCH default");
-    if (!fetched) continue;
+    if (!fetched)
+      continue;
     std::printf("%s\n", fetched->c_str());
     std::this_thread::sleep_for(std::chrono::milliseconds(each));
     const nlohmann::json job = nlohmann::json::parse(*fetched);
@@ -44,8 +47,10 @@
 int main(int argc, char** argv) {
   const std::string what = argc > 1 ? argv[1] : "";
   try {
-    if (what == "push" && argc >= 5) return Push(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
-    if (what == "work" && argc >= 5) return Work(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
+    if (what == "push" && argc >= 5)
+      return Push(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
+    if (what == "work" && argc >= 5)
+      return Work(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "faktory_standin: %s\n", e.what());
     return 1;
--- a/tools/fleet_table/log_line.cpp
+++ b/tools/fleet_table/log_line.cpp
@@ -11,7 +11,8 @@
 std::optional<double> ToNumber(std::string_view text) {
   double value = 0.0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (error != std::errc() || end != text.data() + text.size())
+    return std::nullopt;
   return value;
 }
 
@@ -27,7 +28,8 @@
 bool Field(std::string_view* rest, std::string* name, std::string* value) {
   rest->remove_prefix(std::min(rest->find_first_not_of(' '), rest->size()));
   const std::size_t equals = rest->find('=');
-  if (equals == std::string_view::npos) return false;
+  if (equals == std::string_view::npos)
+    return false;
   *name = rest->substr(0, equals);
   rest->remove_prefix(equals + 1);
   value->clear();
@@ -37,7 +39,8 @@
   }
   std::size_t i = 1;
   for (; i < rest->size() && (*rest)[i] != '"'; ++i) {
-    if ((*rest)[i] == '\\' && i + 1 < rest->size()) ++i;
+    if ((*rest)[i] == '\\' && i + 1 < rest->size())
+      ++i;
     value->push_back((*rest)[i]);
   }
   rest->remove_prefix(std::min(i + 1, rest->size()));
@@ -46,7 +49,8 @@
 
 std::optional<LogLine> DecodeJson(std::string_view text) {
   const auto json = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!json.is_object() || !json.contains("event") || !json["event"].is_string()) return std::nullopt;
+  if (!json.is_object() || !json.contains("event") || !json["event"].is_string())
+    return std::nullopt;
   LogLine line;
   line.event = json["event"];
   for (const auto& [name, value] : json.items())
@@ -55,7 +59,8 @@
   std::tm day{};
   char dot = 0;
   double fraction = 0.0;
-  if (!(time >> std::get_time(&day, "%Y-%m-%dT%H:%M:%S"))) return std::nullopt;
+  if (!(time >> std::get_time(&day, "%Y-%m-%dT%H:%M:%S")))
+    return std::nullopt;
   if (time.get(dot) && dot == '.') {
     time.unget();
     time >> fraction;
@@ -76,14 +81,18 @@
 }
 
 std::optional<LogLine> Decode(std::string_view text) {
-  if (text.starts_with('{')) return DecodeJson(text);
+  if (text.starts_with('{'))
+    return DecodeJson(text);
   const std::optional<double> at = ToNumber(Word(&text));
-  if (!at || Word(&text) != "aldersill:") return std::nullopt;
+  if (!at || Word(&text) != "aldersill:")
+    return std::nullopt;
   Word(&text);  // the level
   LogLine line{*at, std::string(Word(&text)), {}};
   std::string name, value;
-  while (Field(&text, &name, &value)) line.fields[name] = value;
-  if (line.event.empty()) return std::nullopt;
+  while (Field(&text, &name, &value))
+    line.fields[name] = value;
+  if (line.event.empty())
+    return std::nullopt;
   return line;
 }
 
--- a/tools/fleet_table/log_line.h
+++ b/tools/fleet_table/log_line.h
@@ -18,8 +18,8 @@
   double Number(std::string_view name, double otherwise) const;
 };
 
-// A text line after a time in seconds (`12.345 aldersill: debug probe_sent instance=s-1`), or a JSON line as the
-// log writes it. Nothing for any other line.
+// A text line after a time in seconds (`12.345 aldersill: debug probe_sent instance=s-1`), or a JSON line as
+// the log writes it. Nothing for any other line.
 std::optional<LogLine> Decode(std::string_view line);
 
 }  // namespace aldersill::fleet_table
--- a/tools/fleet_table/totals.cpp
+++ b/tools/fleet_table/totals.cpp
@@ -13,8 +13,10 @@
 
 Row* Totals::RowAt(double at) {
   const auto span = static_cast<std::int64_t>(std::floor(at / s_.every));
-  if (const auto found = table_.rows.find(span); found != table_.rows.end()) return &found->second;
-  if (table_.rows.size() < kMostRows) return &table_.rows[span];
+  if (const auto found = table_.rows.find(span); found != table_.rows.end())
+    return &found->second;
+  if (table_.rows.size() < kMostRows)
+    return &table_.rows[span];
   ++table_.out_of_range;
   return &beyond_;
 }
@@ -29,14 +31,16 @@
   Node& node = nodes_[name];
   const std::string& event = line->event;
   if (event == "serving") {
-    if (node.starts++ > 0) CloseAll(name, &node, /*restarted=*/true);
+    if (node.starts++ > 0)
+      CloseAll(name, &node, /*restarted=*/true);
     node.listed = line->at;  // the remembered list, whatever its age
   } else if (event == "log_lines_dropped") {
     table_.dropped += static_cast<std::int64_t>(line->Number("lines", 0.0));
   } else if (event == "request_taken") {
     ++RowAt(line->at)->taken;
     const std::string id(line->Text("id"));
-    node.by_client[std::string(line->Text("client"))] = {id, std::string(line->Text("class")), line->at, 0, ""};
+    node.by_client[std::string(line->Text("client"))] = {id, std::string(line->Text("class")), line->at, 0,
+                                                         ""};
     node.client_of[id] = line->Text("client");
   } else if (event == "execution_started") {
     Started(&node, *line);
@@ -59,7 +63,8 @@
   } else if (event == "instance_told") {
     const double started = line->Number("started_ms", 0.0) / 1000.0;
     node.started[std::string(line->Text("instance"))] = line->Text("started_ms");
-    if (started > 0.0) clock_offset_ = std::min(clock_offset_, line->at - started);
+    if (started > 0.0)
+      clock_offset_ = std::min(clock_offset_, line->at - started);
   }
 }
 
@@ -84,17 +89,21 @@
 
 void Totals::Ended(Node* node, const LogLine& line, const std::string& outcome) {
   const auto found = node->executions.find(std::string(line.Text("execution")));
-  if (found == node->executions.end()) return;  // the first end stands
+  if (found == node->executions.end())
+    return;  // the first end stands
   ++RowAt(found->second.row * s_.every)->attempts[outcome];
   const auto client = node->client_of.find(found->second.request);
-  if (client != node->client_of.end()) node->by_client.at(client->second).at.clear();
+  if (client != node->client_of.end())
+    node->by_client.at(client->second).at.clear();
   node->executions.erase(found);
 }
 
 void Totals::Answered(Node* node, const LogLine& line, std::string what) {
   const auto found = node->by_client.find(std::string(line.Text("client")));
-  if (found == node->by_client.end()) return;
-  if (what == "nack") what = found->second.sent > 0 ? "nack_sent" : "nack_unsent";
+  if (found == node->by_client.end())
+    return;
+  if (what == "nack")
+    what = found->second.sent > 0 ? "nack_sent" : "nack_unsent";
   ++RowAt(found->second.taken)->answers[what];
   node->client_of.erase(found->second.id);
   node->by_client.erase(found);
@@ -120,10 +129,12 @@
     for (std::size_t first = 0, last = 0; last < sends.size() && sends[last] < warm; ++last) {
       ++worker.sends;
       ++RowAt(sends[last])->cold_sends;
-      while (sends[last] - sends[first] >= s_.fall) ++first;
+      while (sends[last] - sends[first] >= s_.fall)
+        ++first;
       worker.most_in_window = std::max(worker.most_in_window, static_cast<int>(last - first) + 1);
     }
-    if (worker.sends > 0) table_.cold.push_back(worker);
+    if (worker.sends > 0)
+      table_.cold.push_back(worker);
   }
   std::sort(table_.cold.begin(), table_.cold.end(), [](const ColdWorker& a, const ColdWorker& b) {
     return std::pair(-a.most_in_window, a.instance) < std::pair(-b.most_in_window, b.instance);
@@ -137,9 +148,8 @@
   }
   table_.nodes = static_cast<int>(nodes_.size());
   CountCold();
-  std::sort(table_.lost.begin(), table_.lost.end(), [](const Lost& a, const Lost& b) {
-    return std::pair(a.taken, a.id) < std::pair(b.taken, b.id);
-  });
+  std::sort(table_.lost.begin(), table_.lost.end(),
+            [](const Lost& a, const Lost& b) { return std::pair(a.taken, a.id) < std::pair(b.taken, b.id); });
   return std::exchange(table_, {});
 }
 
--- a/tools/fleet_table/totals.h
+++ b/tools/fleet_table/totals.h
@@ -1,7 +1,7 @@
-// What all dispatchers of a run did together, counted from their traces (docs/trace.md): by time and cause, what
-// was sent to workers while they were cold, how old lists were when used, and requests never answered with where
-// they were last. Pure: takes lines, reads no file. Memory: open requests and executions, one row a span of time
-// (at most 10,000), one record a worker.
+// What all dispatchers of a run did together, counted from their traces (docs/trace.md): by time and cause,
+// what was sent to workers while they were cold, how old lists were when used, and requests never answered
+// with where they were last. Pure: takes lines, reads no file. Memory: open requests and executions, one row
+// a span of time (at most 10,000), one record a worker.
 #ifndef ALDERSILL_TOOLS_FLEET_TABLE_TOTALS_H_
 #define ALDERSILL_TOOLS_FLEET_TABLE_TOTALS_H_
 
@@ -25,7 +25,7 @@
 
 struct Row {
   // Requests, by how they ended; a nack apart by whether anything had been sent for it.
-  std::map<std::string, int> answers;  // served, nack_unsent, nack_sent, failed, too_late, repeat, left
+  std::map<std::string, int> answers;   // served, nack_unsent, nack_sent, failed, too_late, repeat, left
   std::map<std::string, int> attempts;  // by outcome, stopped for those given up, open at the end
   int taken = 0, probes = 0, cold_sends = 0, calls = 0, calls_failed = 0;
   double list_age_sum = 0.0, list_age_most = 0.0;  // seconds, over the attempts of this row
@@ -49,8 +49,9 @@
   std::vector<ColdWorker> cold;      // the most sends in a window first
   std::vector<Lost> lost;
   int nodes = 0, starts = 0;
-  std::int64_t lines = 0, not_ours = 0, dropped = 0;  // dropped: by the log's own rate; figures are too low by them
-  int out_of_range = 0;                               // lines beyond the rows kept
+  std::int64_t lines = 0, not_ours = 0,
+               dropped = 0;  // dropped: by the log's own rate; figures are too low by them
+  int out_of_range = 0;      // lines beyond the rows kept
 };
 
 class Totals {
--- a/tools/player.cpp
+++ b/tools/player.cpp
@@ -31,7 +31,8 @@
         *needs_more = true;
         return std::string::npos;
       }
-      if (pattern[p++] != text[at++]) return std::string::npos;
+      if (pattern[p++] != text[at++])
+        return std::string::npos;
       continue;
     }
     p += 3;
@@ -51,7 +52,8 @@
 std::string Quote(const std::string& text) {
   std::string lines = "    | ";
   for (const char c : text) {
-    if (c == '\r') continue;
+    if (c == '\r')
+      continue;
     lines += c == '\n' ? std::string("\n    | ") : std::string(1, c);
   }
   return lines + "\n";
@@ -75,7 +77,8 @@
   return *this;
 }
 void Socket::Close() {
-  if (fd_ >= 0) close(std::exchange(fd_, -1));
+  if (fd_ >= 0)
+    close(std::exchange(fd_, -1));
 }
 int Socket::Release() { return std::exchange(fd_, -1); }
 
@@ -84,15 +87,18 @@
   const int on = 1;
   setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   const sockaddr_in address = Loopback(port);
-  if (bind(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) Throw("bind");
-  if (listen(s.fd(), 64) != 0) Throw("listen");
+  if (bind(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0)
+    Throw("bind");
+  if (listen(s.fd(), 64) != 0)
+    Throw("listen");
   return s;
 }
 
 Socket ConnectTo(std::uint16_t port) {
   Socket s(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = Loopback(port);
-  if (connect(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) Throw("connect");
+  if (connect(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0)
+    Throw("connect");
   const int on = 1;
   setsockopt(s.fd(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   return s;
@@ -101,7 +107,8 @@
 std::uint16_t PortOf(const Socket& s) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
-  if (getsockname(s.fd(), reinterpret_cast<sockaddr*>(&address), &size) != 0) Throw("getsockname");
+  if (getsockname(s.fd(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
+    Throw("getsockname");
   return ntohs(address.sin_port);
 }
 
@@ -125,14 +132,17 @@
       const std::size_t begin = whole ? 1 : 2;
       std::string part = line.substr(line.size() > begin && line[begin] == ' ' ? begin + 1 : begin);
       // `\n` writes a bare line feed: the platform's JSON lines end so, HTTP's and RESP's with CR LF.
-      for (std::size_t at; (at = part.find("\\n")) != std::string::npos;) part.replace(at, 2, 1, '\n');
+      for (std::size_t at; (at = part.find("\\n")) != std::string::npos;)
+        part.replace(at, 2, 1, '\n');
       steps.back().block += part + (whole ? "\r\n" : "");
       continue;
     }
     Step step{number, {}, ""};
     std::istringstream words(line.substr(0, line.find('#')));
-    for (std::string word; words >> word;) step.words.push_back(word);
-    if (!step.words.empty()) steps.push_back(std::move(step));
+    for (std::string word; words >> word;)
+      step.words.push_back(word);
+    if (!step.words.empty())
+      steps.push_back(std::move(step));
   }
   return steps;
 }
@@ -151,7 +161,8 @@
     } catch (const std::exception& e) {
       differs = e.what();
     }
-    if (!differs.empty()) return "line " + std::to_string(step.line) + ": " + differs;
+    if (!differs.empty())
+      return "line " + std::to_string(step.line) + ": " + differs;
   }
   return "";
 }
@@ -161,10 +172,13 @@
   std::string text = block;
   const auto put = [&text](const std::string& name, const std::string& value) {
     const std::string slot = std::string("{").append(name).append("}");
-    for (std::size_t at; (at = text.find(slot)) != std::string::npos;) text.replace(at, slot.size(), value);
+    for (std::size_t at; (at = text.find(slot)) != std::string::npos;)
+      text.replace(at, slot.size(), value);
   };
-  for (const auto& [name, listener] : listeners_) put(name, "127.0.0.1:" + std::to_string(PortOf(listener)));
-  for (const auto& [name, port] : doors_) put(name, "127.0.0.1:" + std::to_string(port));
+  for (const auto& [name, listener] : listeners_)
+    put(name, "127.0.0.1:" + std::to_string(PortOf(listener)));
+  for (const auto& [name, port] : doors_)
+    put(name, "127.0.0.1:" + std::to_string(port));
   const std::size_t empty = text.find("\r\n\r\n");
   put("length", std::to_string(empty == std::string::npos ? 0 : text.size() - empty - 4));
   return text;
@@ -173,8 +187,10 @@
 std::string Player::Perform(const Step& step) {
   const std::vector<std::string>& w = step.words;
   const std::string& verb = w[0];
-  if (verb == "config") return "";  // for whoever starts the daemon
-  if (w.size() < 2) return verb + " needs a name";
+  if (verb == "config")
+    return "";  // for whoever starts the daemon
+  if (w.size() < 2)
+    return verb + " needs a name";
   if (verb == "listen") {
     if (!listeners_.contains(w[1]))
       Listen(w[1], w.size() > 2 ? static_cast<std::uint16_t>(std::stoi(w[2])) : 0);
@@ -182,14 +198,17 @@
   }
   if (verb == "connect") {
     const auto door = doors_.find(w.size() > 2 ? w[2] : w[1]);
-    if (door == doors_.end()) return "no door of that name";
+    if (door == doors_.end())
+      return "no door of that name";
     peers_[w[1]] = Peer{ConnectTo(door->second), ""};
     return "";
   }
   if (verb == "accept") {
-    if (w.size() < 3 || !listeners_.contains(w[2])) return "accept NAME LISTENER";
+    if (w.size() < 3 || !listeners_.contains(w[2]))
+      return "accept NAME LISTENER";
     pollfd waits{listeners_.at(w[2]).fd(), POLLIN, 0};
-    if (poll(&waits, 1, patience_ms_) != 1) return "nobody connected to " + w[2];
+    if (poll(&waits, 1, patience_ms_) != 1)
+      return "nobody connected to " + w[2];
     peers_[w[1]] = Peer{Socket(accept4(waits.fd, nullptr, nullptr, SOCK_CLOEXEC)), ""};
     return "";
   }
@@ -198,19 +217,23 @@
     return "";
   }
   const auto found = peers_.find(w[1]);
-  if (found == peers_.end()) return "nobody here is called " + w[1];
+  if (found == peers_.end())
+    return "nobody here is called " + w[1];
   Peer* peer = &found->second;
   if (verb == "send") {
     const std::string text = Fill(step.block);
     for (std::size_t sent = 0; sent < text.size();) {
       const ssize_t n = send(peer->socket.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
-      if (n < 0) return std::string("cannot send: ") + std::strerror(errno);
+      if (n < 0)
+        return std::string("cannot send: ") + std::strerror(errno);
       sent += static_cast<std::size_t>(n);
     }
     return "";
   }
-  if (verb == "expect") return Expect(peer, Fill(step.block));
-  if (verb == "expect-end") return ExpectEnd(peer);
+  if (verb == "expect")
+    return Expect(peer, Fill(step.block));
+  if (verb == "expect-end")
+    return ExpectEnd(peer);
   if (verb == "close") {
     peers_.erase(found);
     return "";
@@ -227,11 +250,13 @@
 bool Player::ReadMore(Peer* peer, bool* ended) {
   pollfd waits{peer->socket.fd(), POLLIN, 0};
   *ended = false;
-  if (poll(&waits, 1, patience_ms_) != 1) return false;
+  if (poll(&waits, 1, patience_ms_) != 1)
+    return false;
   char buffer[16 * 1024];
   const ssize_t n = recv(peer->socket.fd(), buffer, sizeof(buffer), 0);
   *ended = n <= 0;
-  if (n > 0) peer->unread.append(buffer, static_cast<std::size_t>(n));
+  if (n > 0)
+    peer->unread.append(buffer, static_cast<std::size_t>(n));
   return n > 0;
 }
 
@@ -244,7 +269,8 @@
       return "";
     }
     bool ended = false;
-    if (needs_more && ReadMore(peer, &ended)) continue;
+    if (needs_more && ReadMore(peer, &ended))
+      continue;
     return std::string(ended        ? "the connection ended"
                        : needs_more ? "nothing more came"
                                     : "it differs") +
@@ -256,7 +282,8 @@
   bool ended = false;
   while (peer->unread.empty() && ReadMore(peer, &ended)) {
   }
-  if (!peer->unread.empty()) return "wanted the connection's end, had:\n" + Quote(peer->unread);
+  if (!peer->unread.empty())
+    return "wanted the connection's end, had:\n" + Quote(peer->unread);
   return ended ? "" : "the connection stayed open";
 }
 
--- a/tools/probed_workers.cpp
+++ b/tools/probed_workers.cpp
@@ -47,21 +47,27 @@
       body;
   while (!stop_) {
     std::vector<pollfd> polled;
-    for (const Socket& listener : listeners_) polled.push_back({listener.fd(), POLLIN, 0});
-    for (const auto& [fd, caller] : callers) polled.push_back({fd, POLLIN, 0});
-    if (poll(polled.data(), polled.size(), 50) <= 0) continue;
+    for (const Socket& listener : listeners_)
+      polled.push_back({listener.fd(), POLLIN, 0});
+    for (const auto& [fd, caller] : callers)
+      polled.push_back({fd, POLLIN, 0});
+    if (poll(polled.data(), polled.size(), 50) <= 0)
+      continue;
     for (std::size_t i = 0; i < polled.size(); ++i) {
-      if (polled[i].revents == 0) continue;
+      if (polled[i].revents == 0)
+        continue;
       if (i < listeners_.size()) {
         Socket socket(accept(polled[i].fd, nullptr, nullptr));
         const int fd = socket.fd();
-        if (fd >= 0) callers.emplace(fd, Caller{std::move(socket), i, ""});
+        if (fd >= 0)
+          callers.emplace(fd, Caller{std::move(socket), i, ""});
         continue;
       }
       Caller& caller = callers.at(polled[i].fd);
       char bytes[1024];
       const ssize_t got = recv(polled[i].fd, bytes, sizeof(bytes), 0);
-      if (got > 0) caller.head.append(bytes, static_cast<std::size_t>(got));
+      if (got > 0)
+        caller.head.append(bytes, static_cast<std::size_t>(got));
       const bool whole = caller.head.ends_with("\r\n\r\n");
       if (whole && caller.head.starts_with("GET /-/load ")) {
         {
@@ -70,7 +76,8 @@
         }
         send(polled[i].fd, answer.data(), answer.size(), MSG_NOSIGNAL);
       }
-      if (got <= 0 || whole) callers.erase(polled[i].fd);
+      if (got <= 0 || whole)
+        callers.erase(polled[i].fd);
     }
   }
 }
--- a/tools/rehearse.cpp
+++ b/tools/rehearse.cpp
@@ -15,7 +15,8 @@
     for (int i = 2; i < argc; ++i) {
       const std::string door = argv[i];
       const std::size_t equals = door.find('=');
-      if (equals == std::string::npos) throw std::invalid_argument(door);
+      if (equals == std::string::npos)
+        throw std::invalid_argument(door);
       doors[door.substr(0, equals)] = static_cast<std::uint16_t>(std::stoi(door.substr(equals + 1)));
     }
   } catch (const std::exception& e) {
--- a/tools/snmp_check.cpp
+++ b/tools/snmp_check.cpp
@@ -8,11 +8,14 @@
 
 int main(int argc, char** argv) {
   try {
-    if (argc != 2) throw std::invalid_argument("usage: snmp_check PORT");
+    if (argc != 2)
+      throw std::invalid_argument("usage: snmp_check PORT");
     aldersill::tools::SnmpProbe probe(static_cast<std::uint16_t>(std::stoi(argv[1])));
     const auto all = probe.Walk(aldersill::tools::kAldersillMib);
-    for (const auto& binding : all) std::printf("%s = %s\n", binding.id.c_str(), binding.value.c_str());
-    if (all.empty()) std::printf("nobody answers, or nothing is shown\n");
+    for (const auto& binding : all)
+      std::printf("%s = %s\n", binding.id.c_str(), binding.value.c_str());
+    if (all.empty())
+      std::printf("nobody answers, or nothing is shown\n");
     return all.empty() ? 1 : 0;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "snmp_check: %s\n", e.what());
--- a/tools/snmp_probe.cpp
+++ b/tools/snmp_probe.cpp
@@ -26,7 +26,8 @@
 
 std::string Dotted(const oid* name, std::size_t length) {
   std::string text;
-  for (std::size_t i = 0; i < length; ++i) text += (i > 0 ? "." : "") + std::to_string(name[i]);
+  for (std::size_t i = 0; i < length; ++i)
+    text += (i > 0 ? "." : "") + std::to_string(name[i]);
   return text;
 }
 
@@ -70,10 +71,12 @@
   wanted.timeout = patience_ms_ * 1000L;
   wanted.retries = 0;
   void* session = snmp_sess_open(&wanted);
-  if (session == nullptr) throw std::runtime_error("snmp: cannot open a session");
+  if (session == nullptr)
+    throw std::runtime_error("snmp: cannot open a session");
   oid name[MAX_OID_LEN];
   std::size_t length = MAX_OID_LEN;
-  if (read_objid(id.c_str(), name, &length) == 0) throw std::runtime_error("snmp: not an identifier: " + id);
+  if (read_objid(id.c_str(), name, &length) == 0)
+    throw std::runtime_error("snmp: not an identifier: " + id);
   netsnmp_pdu* pdu = snmp_pdu_create(kind == kGet       ? SNMP_MSG_GET
                                      : kind == kGetNext ? SNMP_MSG_GETNEXT
                                                         : SNMP_MSG_SET);
@@ -92,7 +95,8 @@
       binding = Binding{Dotted(var->name, var->name_length), ValueOf(var)};
     }
   }
-  if (response != nullptr) snmp_free_pdu(response);
+  if (response != nullptr)
+    snmp_free_pdu(response);
   snmp_sess_close(session);
   return binding;
 }
@@ -101,7 +105,8 @@
   std::vector<Binding> all;
   for (std::string at = root;;) {
     auto next = GetNext(at);
-    if (!next || next->value == "endOfMibView" || !next->id.starts_with(root + ".")) return all;
+    if (!next || next->value == "endOfMibView" || !next->id.starts_with(root + "."))
+      return all;
     at = next->id;
     all.push_back(std::move(*next));
   }
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -13,7 +13,8 @@
 void Wire::Write(const std::string& text) {
   for (std::size_t sent = 0; sent < text.size();) {
     const ssize_t n = send(socket_.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0) throw std::runtime_error("the connection broke");
+    if (n <= 0)
+      throw std::runtime_error("the connection broke");
     sent += static_cast<std::size_t>(n);
   }
 }
@@ -23,12 +24,14 @@
   while ((end = unread_.find('\n')) == std::string::npos) {
     char buffer[8192];
     const ssize_t n = recv(socket_.fd(), buffer, sizeof(buffer), 0);
-    if (n <= 0) throw std::runtime_error("the connection ended");
+    if (n <= 0)
+      throw std::runtime_error("the connection ended");
     unread_.append(buffer, static_cast<std::size_t>(n));
   }
   std::string line = unread_.substr(0, end);
   unread_.erase(0, end + 1);
-  if (!line.empty() && line.back() == '\r') line.pop_back();
+  if (!line.empty() && line.back() == '\r')
+    line.pop_back();
   return line;
 }
 
@@ -36,7 +39,8 @@
   while (unread_.size() < size) {
     char buffer[8192];
     const ssize_t n = recv(socket_.fd(), buffer, sizeof(buffer), 0);
-    if (n <= 0) throw std::runtime_error("the connection ended");
+    if (n <= 0)
+      throw std::runtime_error("the connection ended");
     unread_.append(buffer, static_cast<std::size_t>(n));
   }
   std::string text = unread_.substr(0, size);
@@ -50,19 +54,23 @@
 
 FaktorySession::FaktorySession(std::uint16_t port, const std::string& wid) : wire_(ConnectTo(port)) {
   const std::string hi = wire_.ReadLine();
-  if (!hi.starts_with("+HI ")) throw std::runtime_error("no greeting: " + hi);
+  if (!hi.starts_with("+HI "))
+    throw std::runtime_error("no greeting: " + hi);
   nlohmann::json hello = {{"v", 2}};
   if (!wid.empty())
     hello.update({{"wid", wid}, {"hostname", "localhost"}, {"pid", 1}, {"labels", nlohmann::json::array()}});
   const auto reply = Ask("HELLO " + hello.dump());
-  if (reply != "+OK") throw std::runtime_error("not welcome: " + reply.value_or("null"));
+  if (reply != "+OK")
+    throw std::runtime_error("not welcome: " + reply.value_or("null"));
 }
 
 std::optional<std::string> FaktorySession::Ask(const std::string& command) {
   wire_.Write(command + "\r\n");
   std::string line = wire_.ReadLine();
-  if (line == "$-1") return std::nullopt;
-  if (!line.starts_with("$")) return line;
+  if (line == "$-1")
+    return std::nullopt;
+  if (!line.starts_with("$"))
+    return line;
   std::string text = wire_.ReadExactly(std::stoul(line.substr(1)));
   wire_.ReadLine();
   return text;
@@ -75,7 +83,8 @@
   {
     const std::lock_guard lock(mutex_);
     stop_ = true;
-    if (session_ != nullptr) session_->wire().Abort();
+    if (session_ != nullptr)
+      session_->wire().Abort();
   }
   thread_.join();
 }
@@ -86,18 +95,22 @@
       FaktorySession session(port, wid);
       {
         const std::lock_guard lock(mutex_);
-        if (stop_) return;
+        if (stop_)
+          return;
         session_ = &session;
       }
       try {
         while (!stop_) {
           const auto fetched = session.Ask("FETCH default");
-          if (!fetched) continue;
-          if (!fetched->starts_with("{")) throw std::runtime_error("FETCH: " + *fetched);
+          if (!fetched)
+            continue;
+          if (!fetched->starts_with("{"))
+            throw std::runtime_error("FETCH: " + *fetched);
           const nlohmann::json job = nlohmann::json::parse(*fetched);
           const std::string jid = job.at("jid");
           const Fate fate = run_(jid, job.at("jobtype"));
-          if (fate == Fate::kDrop) break;
+          if (fate == Fate::kDrop)
+            break;
           session.Ask((fate == Fate::kDone ? "ACK " : "FAIL ") + nlohmann::json{{"jid", jid}}.dump());
         }
       } catch (const std::exception&) {  // the daemon closed it: greet again
@@ -114,7 +127,8 @@
 
 std::string HttpMessage::Header(const std::string& name) const {
   for (const auto& [key, value] : headers) {
-    if (key == name) return value;
+    if (key == name)
+      return value;
   }
   return "";
 }
@@ -124,11 +138,13 @@
   message.start = wire->ReadLine();
   for (std::string line; !(line = wire->ReadLine()).empty();) {
     const std::size_t colon = line.find(": ");
-    if (colon == std::string::npos) throw std::runtime_error("not a header: " + line);
+    if (colon == std::string::npos)
+      throw std::runtime_error("not a header: " + line);
     message.headers.emplace_back(line.substr(0, colon), line.substr(colon + 2));
   }
   const std::string length = message.Header("Content-Length");
-  if (!length.empty()) message.body = wire->ReadExactly(std::stoul(length));
+  if (!length.empty())
+    message.body = wire->ReadExactly(std::stoul(length));
   return message;
 }
 
@@ -151,11 +167,13 @@
   {
     const std::lock_guard lock(mutex_);
     stop_ = true;
-    for (Wire& wire : wires_) wire.Abort();
+    for (Wire& wire : wires_)
+      wire.Abort();
   }
   shutdown(listener_.fd(), SHUT_RDWR);  // wakes accept
   accepting_.join();
-  for (std::thread& thread : threads_) thread.join();
+  for (std::thread& thread : threads_)
+    thread.join();
 }
 
 void HttpServer::Accept() {
@@ -171,7 +189,8 @@
       try {
         while (true) {
           const auto answer = serve_(ReadHttp(&wire));
-          if (!answer) break;
+          if (!answer)
+            break;
           wire.Write(*answer);
         }
       } catch (const std::exception&) {  // the daemon closed it
@@ -185,7 +204,8 @@
   return [run = std::move(run)](const HttpMessage& request) -> std::optional<std::string> {
     const std::string id = request.Header("Req-Id");
     const Fate fate = run(id, request.Header("Req-Kind"));
-    if (fate == Fate::kDrop) return std::nullopt;
+    if (fate == Fate::kDrop)
+      return std::nullopt;
     const char* state = fate == Fate::kDone ? "done" : "failed";
     const std::string line =
         nlohmann::json{{"id", id}, {"state", state}, {"result", "ran " + id}}.dump() + "\n";
@@ -198,7 +218,8 @@
               [this, servers = std::move(servers)](const HttpMessage& request) -> std::optional<std::string> {
                 const bool first = request.start.find("index=2&") == std::string::npos;
                 std::unique_lock lock(mutex_);
-                if (!first) stopped_.wait_for(lock, std::chrono::seconds(5), [this] { return stop_; });
+                if (!first)
+                  stopped_.wait_for(lock, std::chrono::seconds(5), [this] { return stop_; });
                 const std::string body = first ? R"({"version":2,"full":true,"servers":)" + servers + "}"
                                                : R"({"version":2,"full":false,"servers":[]})";
                 return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
--- a/tools/udp_relay.cpp
+++ b/tools/udp_relay.cpp
@@ -42,17 +42,21 @@
 
 void UdpRelay::Carry() {
   std::vector<pollfd> polled;
-  for (const Socket& socket : sockets_) polled.push_back({socket.fd(), POLLIN, 0});
+  for (const Socket& socket : sockets_)
+    polled.push_back({socket.fd(), POLLIN, 0});
   std::vector<char> bytes(65'536);
   while (!stop_) {
-    if (poll(polled.data(), polled.size(), 50) <= 0) continue;
+    if (poll(polled.data(), polled.size(), 50) <= 0)
+      continue;
     for (std::size_t to = 0; to < polled.size(); ++to) {
-      if ((polled[to].revents & POLLIN) == 0) continue;
+      if ((polled[to].revents & POLLIN) == 0)
+        continue;
       sockaddr_in peer{};
       socklen_t size = sizeof(peer);
       const ssize_t got = recvfrom(polled[to].fd, bytes.data(), bytes.size(), MSG_DONTWAIT,
                                    reinterpret_cast<sockaddr*>(&peer), &size);
-      if (got < 0) continue;
+      if (got < 0)
+        continue;
       const std::lock_guard lock(mutex_);
       const auto from = std::find(real_.begin(), real_.end(), ntohs(peer.sin_port)) - real_.begin();
       if (from == std::ssize(real_) || real_[to] == 0 ||
--- a/tools/virtual_budgets/budget_table.cpp
+++ b/tools/virtual_budgets/budget_table.cpp
@@ -29,18 +29,21 @@
   double left = kWhole, level = 0;
   for (std::size_t i = 0; i < sorted.size(); ++i) {
     level = left / static_cast<double>(sorted.size() - i);
-    if (sorted[i] >= level) break;
+    if (sorted[i] >= level)
+      break;
     left -= sorted[i];
     level = sorted.back();
   }
   std::vector<double> shares;
-  for (const double demand : demands) shares.push_back(std::min(demand, level));
+  for (const double demand : demands)
+    shares.push_back(std::min(demand, level));
   return shares;
 }
 
 double Jain(const std::vector<double>& x) {
   double sum = 0, squares = 0;
-  for (const double v : x) sum += v, squares += v * v;
+  for (const double v : x)
+    sum += v, squares += v * v;
   return squares > 0 ? sum * sum / (static_cast<double>(x.size()) * squares) : 1.0;
 }
 
@@ -58,10 +61,12 @@
     while (world.now() < end && !(until && until())) {
       world.RunUntil(world.now() + kStep);
       for (int i = 0; i < world.size(); ++i) {
-        if (!world.Runs(i)) continue;
+        if (!world.Runs(i))
+          continue;
         // Arrivals are even, from a phase of their own.
         owed_[i] += demands[i] * static_cast<double>(kStep) / kSecond;
-        for (; owed_[i] >= 1; --owed_[i]) served[i] += world.Take(i, 0) ? 1 : 0;
+        for (; owed_[i] >= 1; --owed_[i])
+          served[i] += world.Take(i, 0) ? 1 : 0;
       }
     }
   }
@@ -69,16 +74,19 @@
     served.assign(served.size(), 0.0);
     Run(lasts);
     double sum = 0;
-    for (const double s : served) sum += s;
+    for (const double s : served)
+      sum += s;
     return sum / (kWhole * static_cast<double>(lasts) / kSecond);
   }
   double Allowed(int i) const {
-    if (!world.Runs(i) || world.Stands(i)) return 0;
+    if (!world.Runs(i) || world.Stands(i))
+      return 0;
     return static_cast<double>(world.purse(i).Allowed(world.LocalTime(i), "mail")) / budgets::kUnitsAStart;
   }
   double AllAllowed() const {
     double sum = 0;
-    for (int i = 0; i < world.size(); ++i) sum += Allowed(i);
+    for (int i = 0; i < world.size(); ++i)
+      sum += Allowed(i);
     return sum;
   }
   // In seconds; below 0 where it did not come about.
@@ -128,8 +136,10 @@
     const double bytes = static_cast<double>(even.world.bytes) / 20;
     Trial zipf(c, n);
     double harmonic = 0;
-    for (int k = 1; k <= n; ++k) harmonic += 1.0 / k;
-    for (int k = 1; k <= n; ++k) zipf.demands[k - 1] = 1.5 * kWhole / k / harmonic;
+    for (int k = 1; k <= n; ++k)
+      harmonic += 1.0 / k;
+    for (int k = 1; k <= n; ++k)
+      zipf.demands[k - 1] = 1.5 * kWhole / k / harmonic;
     zipf.Run(kWarm);
     const double zipf_used = zipf.Used(20 * kSecond);
     const std::vector<double> best = SeesEverything(zipf.demands);
@@ -149,11 +159,13 @@
     churn.Run(kWarm);
     // Of three in ten each is away for 5 s of 30 s: every other one gives back first, the rest just die.
     for (int i = 0; i < n; ++i) {
-      if (i % 10 != 1 && i % 10 != 4 && i % 10 != 7) continue;
+      if (i % 10 != 1 && i % 10 != 4 && i % 10 != 7)
+        continue;
       for (Micros at = churn.world.now() + churn.world.random()(30'000'000); at < 100 * kSecond;
            at += 30 * kSecond) {
         churn.world.At(at, [&, i] {
-          if (i % 10 == 4) churn.world.GiveBack(i);
+          if (i % 10 == 4)
+            churn.world.GiveBack(i);
         });
         churn.world.At(at + 50 * kMillisecond, [&, i] { churn.world.Kill(i); });
         churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Begin(i); });
@@ -173,9 +185,11 @@
       const int holder = go.world.Holder().value_or(0);
       const int gone = std::max(1, n / 3);
       for (int i = n - 1, left = gone; i >= 0 && left > 0; --i) {
-        if (i == holder) continue;
+        if (i == holder)
+          continue;
         --left;
-        if (gives_back) go.world.GiveBack(i);
+        if (gives_back)
+          go.world.GiveBack(i);
         go.world.At(go.world.now() + 50 * kMillisecond, [&, i] { go.world.Kill(i); });
       }
       go.Run(60 * kMillisecond);
@@ -226,5 +240,6 @@
       "lost: "
       "growth after s, least allowed | all traffic moves s | asks/s, KB/s, KB/s an instance, holder ms/s |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  for (const int n : sizes) tools::Row(c, n);
+  for (const int n : sizes)
+    tools::Row(c, n);
 }
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -20,7 +20,8 @@
   for (int i = 0; i < o_.instances; ++i) {
     instances_[i].seat = i + 1;
     instances_[i].rate = 1.0 + o_.drift * (2 * Share() - 1);
-    if (o_.clocks_apart > 0) instances_[i].ahead = random_(static_cast<std::uint32_t>(o_.clocks_apart));
+    if (o_.clocks_apart > 0)
+      instances_[i].ahead = random_(static_cast<std::uint32_t>(o_.clocks_apart));
   }
 }
 
@@ -42,13 +43,15 @@
   const std::uint64_t seed = o_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + instance.life;
   if (i < o_.voters) {
     duties::LeaseSettings lease{"budgets", s.name, s.epoch, {}, o_.lease, s.most_drift};
-    for (int v = 0; v < std::min(o_.voters, size()); ++v) lease.voters.push_back(name(v));
+    for (int v = 0; v < std::min(o_.voters, size()); ++v)
+      lease.voters.push_back(name(v));
     instance.lease = std::make_unique<duties::Lease>(std::move(lease), seed);
   }
   instance.grantor = std::make_unique<budgets::Grantor>(s);
   instance.purse = std::make_unique<budgets::Purse>(std::move(s));
   ToPurse(i, budgets::PurseStarted{});
-  if (instance.lease) ToLease(i, duties::LeaseStarted{});
+  if (instance.lease)
+    ToLease(i, duties::LeaseStarted{});
   Push(now_ + kAnnounceEach, i, Announce{});
 }
 
@@ -62,12 +65,14 @@
 
 void VirtualBudgets::Resume(int i) {
   Instance& instance = instances_[i];
-  if (!std::exchange(instance.paused, false)) return;
+  if (!std::exchange(instance.paused, false))
+    return;
   // Its timers are long overdue, and its sockets full: the loop may serve either first.
   const bool timers_first = random_(2) == 0;
   for (int turn = 0; turn < 2; ++turn) {
     if ((turn == 0) == timers_first) {
-      if (instance.lease) ToLease(i, duties::LeaseTime{});
+      if (instance.lease)
+        ToLease(i, duties::LeaseTime{});
       ToPurse(i, budgets::PurseTime{});
       Push(now_, i, Announce{});
     } else {
@@ -82,7 +87,8 @@
 void VirtualBudgets::Split(const std::set<int>& side) {
   for (int a = 0; a < size(); ++a) {
     for (int b = 0; b < size(); ++b) {
-      if (side.contains(a) != side.contains(b)) Cut(a, b);
+      if (side.contains(a) != side.contains(b))
+        Cut(a, b);
     }
   }
 }
@@ -106,13 +112,16 @@
       continue;
     }
     Instance& instance = instances_[item.instance];
-    if (!instance.purse) continue;
+    if (!instance.purse)
+      continue;
     // A packet finds whoever listens there now; all else is of the life that set it.
-    if (instance.life != item.life && !std::holds_alternative<Arrives>(*item.what)) continue;
+    if (instance.life != item.life && !std::holds_alternative<Arrives>(*item.what))
+      continue;
     if (instance.paused) {
       const bool kept = std::holds_alternative<Freed>(*item.what) ||
                         (std::holds_alternative<Arrives>(*item.what) && instance.held.size() < kSocketHolds);
-      if (kept) instance.held.push_back(item.what);
+      if (kept)
+        instance.held.push_back(item.what);
       continue;
     }
     Deliver(item.instance, *item.what);
@@ -123,9 +132,11 @@
 void VirtualBudgets::Deliver(int i, const What& what) {
   Instance& instance = instances_[i];
   if (const auto* rings = std::get_if<TimerRings>(&what)) {
-    if (rings->setting != instance.setting) return;
+    if (rings->setting != instance.setting)
+      return;
     instance.rings = 0;
-    if (instance.lease && instance.lease->next_due() <= LocalTime(i)) ToLease(i, duties::LeaseTime{});
+    if (instance.lease && instance.lease->next_due() <= LocalTime(i))
+      ToLease(i, duties::LeaseTime{});
     ToPurse(i, budgets::PurseTime{});
   } else if (const auto* arrives = std::get_if<Arrives>(&what)) {
     Hear(i, *arrives);
@@ -134,20 +145,23 @@
     SetTimer(i);
   } else {
     const auto term = instance.lease ? instance.lease->Holds(LocalTime(i)) : std::nullopt;
-    if (term) TellAll(i, *term);
+    if (term)
+      TellAll(i, *term);
     Push(now_ + kAnnounceEach, i, Announce{});
   }
 }
 
 void VirtualBudgets::Hear(int i, const Arrives& arrives) {
   if (const auto* lease = std::get_if<duties::LeaseMessage>(&arrives.message)) {
-    if (instances_[i].lease) ToLease(i, duties::LeaseHeard{name(arrives.from), *lease});
+    if (instances_[i].lease)
+      ToLease(i, duties::LeaseHeard{name(arrives.from), *lease});
   } else if (const auto* ask = std::get_if<budgets::Ask>(&arrives.message)) {
     const auto& own = instances_[i].lease;
     ToGrantor(i, budgets::AskHeard{name(arrives.from), *ask, own ? own->Holds(LocalTime(i)) : std::nullopt});
   } else if (const auto* answer = std::get_if<budgets::Answer>(&arrives.message)) {
     ToPurse(i, budgets::AnswerHeard{name(arrives.from), *answer});
-    if (on_answer) on_answer(i);
+    if (on_answer)
+      on_answer(i);
   } else {
     ToPurse(i, budgets::HolderIs{name(arrives.from), std::get<HoldsNow>(arrives.message).term});
   }
@@ -155,7 +169,8 @@
 
 void VirtualBudgets::TellAll(int i, std::uint64_t term) {
   for (int j = 0; j < size(); ++j) {
-    if (Runs(j)) Send(i, j, HoldsNow{term});
+    if (Runs(j))
+      Send(i, j, HoldsNow{term});
   }
 }
 
@@ -180,7 +195,8 @@
   instances_[i].purse->Handle(LocalTime(i), std::move(event), &effects);
   for (budgets::PurseEffect& effect : effects) {
     if (auto* send = std::get_if<budgets::SendAsk>(&effect)) {
-      if (!on_ask || on_ask(i, Number(send->to), send->ask)) Send(i, Number(send->to), std::move(send->ask));
+      if (!on_ask || on_ask(i, Number(send->to), send->ask))
+        Send(i, Number(send->to), std::move(send->ask));
     } else if (on_error) {
       on_error(i, std::get<budgets::PurseSays>(effect).error);
     }
@@ -210,12 +226,15 @@
 void VirtualBudgets::Send(int from, int to, M message) {
   if constexpr (std::is_same_v<M, budgets::Ask> || std::is_same_v<M, budgets::Answer>) {
     ++packets;
-    if (o_.count_bytes) bytes += budgets::Encode(message).size();
+    if (o_.count_bytes)
+      bytes += budgets::Encode(message).size();
   }
-  if (cuts_.contains({from, to}) || (from != to && Chance(o_.network.loss))) return;
+  if (cuts_.contains({from, to}) || (from != to && Chance(o_.network.loss)))
+    return;
   const auto what = std::make_shared<const What>(Arrives{from, {std::move(message)}});
   const int times = from != to && Chance(o_.network.doubled) ? 2 : 1;
-  for (int n = 0; n < times; ++n) Push(now_ + (from == to ? 1 : Delay()), to, what);
+  for (int n = 0; n < times; ++n)
+    Push(now_ + (from == to ? 1 : Delay()), to, what);
 }
 
 Micros VirtualBudgets::Delay() {
@@ -227,8 +246,10 @@
 void VirtualBudgets::SetTimer(int i) {
   Instance& instance = instances_[i];
   Micros due = instance.purse->next_due();
-  if (instance.lease) due = std::min(due, instance.lease->next_due());
-  if (due == INT64_MAX) return;
+  if (instance.lease)
+    due = std::min(due, instance.lease->next_due());
+  if (due == INT64_MAX)
+    return;
   const double local = static_cast<double>(due - kBegin - instance.ahead);
   const Micros at = std::max(now_ + 1, static_cast<Micros>(std::ceil(local / instance.rate)) + 1);
   if (instance.rings != 0 && instance.rings <= at && instance.rings > now_)
@@ -240,24 +261,28 @@
 std::optional<int> VirtualBudgets::Holder() const {
   for (int i = 0; i < size(); ++i) {
     const auto& lease = instances_[i].lease;
-    if (lease && !instances_[i].paused && lease->Holds(LocalTime(i))) return i;
+    if (lease && !instances_[i].paused && lease->Holds(LocalTime(i)))
+      return i;
   }
   return std::nullopt;
 }
 
 bool VirtualBudgets::Take(int i, std::size_t budget, std::int64_t count) {
-  if (!Runs(i) || Stands(i)) return false;
+  if (!Runs(i) || Stands(i))
+    return false;
   const bool may = !instances_[i].purse->Take(LocalTime(i), o_.settings.budgets[budget].name, count);
   SetTimer(i);
   return may;
 }
 
 void VirtualBudgets::Free(int i, std::size_t budget, int life, std::int64_t count) {
-  if (Runs(i) && life == instances_[i].life) Push(now_, i, Freed{budget, count});
+  if (Runs(i) && life == instances_[i].life)
+    Push(now_, i, Freed{budget, count});
 }
 
 void VirtualBudgets::Waiting(int i, std::size_t budget, std::int64_t count) {
-  if (!Runs(i) || Stands(i)) return;
+  if (!Runs(i) || Stands(i))
+    return;
   instances_[i].purse->Waiting(LocalTime(i), o_.settings.budgets[budget].name, count);
   SetTimer(i);
 }
--- a/tools/virtual_cluster/cluster_scale.cpp
+++ b/tools/virtual_cluster/cluster_scale.cpp
@@ -31,7 +31,8 @@
 };
 
 double Quantile(std::vector<double> values, double q) {
-  if (values.empty()) return NAN;
+  if (values.empty())
+    return NAN;
   std::sort(values.begin(), values.end());
   const auto at = static_cast<std::size_t>(std::ceil(q * static_cast<double>(values.size())));
   return values[std::clamp<std::size_t>(at, 1, values.size()) - 1];
@@ -54,9 +55,11 @@
     o.workers = probing ? plan.workers : 0;
     o.clocks_apart = 100 * kMillisecond;
     o.through_bytes = false;
-    if (probing) o.settings.probing = duties::ProbeSettings{"", plan.interval, kSecond, 64};
+    if (probing)
+      o.settings.probing = duties::ProbeSettings{"", plan.interval, kSecond, 64};
     cluster_ = std::make_unique<VirtualCluster>(o);
-    for (int i = 0; i < instances; ++i) cluster_->Add();
+    for (int i = 0; i < instances; ++i)
+      cluster_->Add();
     // All within ten seconds, as after a deployment.
     for (int i = 0; i < instances; ++i)
       cluster_->At(i * (10 * kSecond / instances), [this, i] { cluster_->Begin(i); });
@@ -68,7 +71,8 @@
   void Steady(Row* row, bool bare) {
     const int n = cluster_->size();
     std::vector<VirtualCluster::Sent> before;
-    for (int i = 0; i < n; ++i) before.push_back(cluster_->sent(i));
+    for (int i = 0; i < n; ++i)
+      before.push_back(cluster_->sent(i));
     std::uint64_t probes = 0, suspects = 0, deaths = 0;
     cluster_->on_probe = [&](int, const std::string&) { ++probes; };
     cluster_->on_news = [&](int, const membership::MemberNews& news) {
@@ -88,7 +92,8 @@
     const double each = 1.0 / (n * static_cast<double>(plan_.window_s));
     (bare ? row->bare_packets_s : row->packets_s) = packets * each;
     (bare ? row->bare_bytes_s : row->bytes_s) = bytes * each;
-    if (bare) return;
+    if (bare)
+      return;
     row->probes_per_worker_s = static_cast<double>(probes) / plan_.workers / plan_.window_s;
     row->probes_unshared = n * 1e6 / static_cast<double>(plan_.interval);
     const double pairs = static_cast<double>(n) * (n - 1) * plan_.window_s / 3'600.0;
@@ -105,18 +110,21 @@
       std::set<std::string> its;
       for (int w = 0; w < plan_.workers; ++w) {
         const std::string worker = cluster_->WorkerName(w);
-        if (cluster_->core(victim).probing()->OwnerOf(worker) == name) its.insert(worker);
+        if (cluster_->core(victim).probing()->OwnerOf(worker) == name)
+          its.insert(worker);
       }
       const Micros died = cluster_->now();
       std::set<int> knows;
       cluster_->on_news = [&](int i, const membership::MemberNews& news) {
-        if (news.member.name != name || news.what != membership::MemberNews::What::kDead) return;
+        if (news.member.name != name || news.what != membership::MemberNews::What::kDead)
+          return;
         if (knows.insert(i).second)
           detections.push_back(static_cast<double>(cluster_->now() - died) / kSecond);
       };
       std::size_t taken = 0;
       cluster_->on_probe = [&](int, const std::string& worker) {
-        if (its.erase(worker) == 0) return;
+        if (its.erase(worker) == 0)
+          return;
         ++taken;
         takeovers.push_back(static_cast<double>(cluster_->now() - died) / kSecond);
       };
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -26,7 +26,8 @@
   instance.address = "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7946";
   pcg32 own(o_.seed, 1'000 + static_cast<std::uint64_t>(i));
   instance.rate = 1.0 + o_.drift * (static_cast<double>(own()) / 2147483648.0 - 1.0);
-  if (o_.clocks_apart > 0) instance.ahead = own(static_cast<std::uint32_t>(o_.clocks_apart));
+  if (o_.clocks_apart > 0)
+    instance.ahead = own(static_cast<std::uint32_t>(o_.clocks_apart));
   by_address_[instance.address] = i;
   instances_.push_back(std::move(instance));
   return i;
@@ -45,17 +46,21 @@
   s.membership.name = instance.name;
   s.membership.address = instance.address;
   s.membership.join = {instances_[0].address};
-  if (size() > 1) s.membership.join.push_back(instances_[1].address);
-  if (s.probing) s.probing->name = instance.name;
+  if (size() > 1)
+    s.membership.join.push_back(instances_[1].address);
+  if (s.probing)
+    s.probing->name = instance.name;
   ++instance.life;
   instance.paused = false;
   instance.held.clear();
   const std::uint64_t seed = o_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + instance.life;
   instance.core = std::make_unique<cluster::Cluster>(std::move(s), seed);
   cluster::Workers workers;
-  for (int w = 0; w < o_.workers; ++w) workers.all.emplace_back(WorkerName(w), "10.9.0.1:80");
+  for (int w = 0; w < o_.workers; ++w)
+    workers.all.emplace_back(WorkerName(w), "10.9.0.1:80");
   Tell(i, cluster::Start{static_cast<std::uint64_t>(LocalTime(i) / kMillisecond)});
-  if (o_.workers > 0) Tell(i, std::move(workers));
+  if (o_.workers > 0)
+    Tell(i, std::move(workers));
 }
 
 void VirtualCluster::Kill(int i) {
@@ -74,13 +79,16 @@
 
 void VirtualCluster::Resume(int i) {
   Instance& instance = instances_[i];
-  if (!std::exchange(instance.paused, false)) return;
+  if (!std::exchange(instance.paused, false))
+    return;
   // Its timers are long overdue, and its sockets full: the loop may serve either first.
   const bool timers_first = random_(2) == 0;
-  if (timers_first) Tell(i, cluster::Time{});
+  if (timers_first)
+    Tell(i, cluster::Time{});
   for (std::deque<What> held = std::exchange(instance.held, {}); !held.empty(); held.pop_front())
     Deliver(i, held.front());
-  if (!timers_first) Tell(i, cluster::Time{});
+  if (!timers_first)
+    Tell(i, cluster::Time{});
 }
 
 void VirtualCluster::Leave(int i) { Tell(i, cluster::Leave{}); }
@@ -90,7 +98,8 @@
 void VirtualCluster::Split(const std::set<int>& side) {
   for (int a = 0; a < size(); ++a) {
     for (int b = 0; b < size(); ++b) {
-      if (side.contains(a) != side.contains(b)) Cut(a, b);
+      if (side.contains(a) != side.contains(b))
+        Cut(a, b);
     }
   }
 }
@@ -116,7 +125,8 @@
     Instance& instance = instances_[item.instance];
     if (instance.core == nullptr || instance.life != item.life) {
       // A packet finds whoever listens there now; timers and answers are of the life that asked.
-      if (instance.core == nullptr || !std::holds_alternative<Arrives>(item.what)) continue;
+      if (instance.core == nullptr || !std::holds_alternative<Arrives>(item.what))
+        continue;
     }
     if (instance.paused) {
       if (!std::holds_alternative<TimerRings>(item.what) && instance.held.size() < kSocketHolds)
@@ -130,14 +140,17 @@
 
 void VirtualCluster::Deliver(int i, const What& what) {
   if (const auto* rings = std::get_if<TimerRings>(&what)) {
-    if (rings->setting != instances_[i].setting) return;
+    if (rings->setting != instances_[i].setting)
+      return;
     instances_[i].rings = 0;
     return Tell(i, cluster::Time{});
   }
   if (const auto* arrives = std::get_if<Arrives>(&what)) {
-    if (!o_.through_bytes) return Tell(i, cluster::Came{arrives->address, *arrives->packet});
+    if (!o_.through_bytes)
+      return Tell(i, cluster::Came{arrives->address, *arrives->packet});
     auto packet = membership::Decode(*arrives->bytes);
-    if (!packet) throw std::logic_error("a packet does not decode");
+    if (!packet)
+      throw std::logic_error("a packet does not decode");
     return Tell(i, cluster::Came{arrives->address, std::move(*packet)});
   }
   const auto& answers = std::get<Answers>(what);
@@ -147,7 +160,8 @@
 }
 
 void VirtualCluster::Tell(int i, cluster::Event event) {
-  if (instances_[i].core == nullptr) return;
+  if (instances_[i].core == nullptr)
+    return;
   std::vector<cluster::Effect> effects;
   instances_[i].core->Handle(LocalTime(i), std::move(event), &effects);
   for (cluster::Effect& effect : effects) {
@@ -156,25 +170,30 @@
     } else if (auto* probe = std::get_if<cluster::Probe>(&effect)) {
       Do(i, std::move(*probe));
     } else if (const auto* news = std::get_if<membership::MemberNews>(&effect)) {
-      if (on_news) on_news(i, *news);
+      if (on_news)
+        on_news(i, *news);
     } else if (const auto* lease = std::get_if<cluster::LeaseNews>(&effect)) {
-      if (on_lease) on_lease(i, *lease);
+      if (on_lease)
+        on_lease(i, *lease);
     } else if (on_result) {
       on_result(i, std::get<cluster::Result>(effect).result);
     }
   }
   SetTimer(i);
-  if (after_each) after_each();
+  if (after_each)
+    after_each();
 }
 
 void VirtualCluster::SetTimer(int i) {
   Instance& instance = instances_[i];
   const Micros due = instance.core->next_due();
-  if (due == INT64_MAX) return;
+  if (due == INT64_MAX)
+    return;
   const Micros wait = std::max<Micros>(0, due - LocalTime(i));
   const Micros rings = now_ + static_cast<Micros>(static_cast<double>(wait) / instance.rate) + 1;
   // One that rings sooner may stand: the core then finds nothing due and is asked again.
-  if (instance.rings != 0 && instance.rings <= rings && instance.rings > now_) return;
+  if (instance.rings != 0 && instance.rings <= rings && instance.rings > now_)
+    return;
   instance.rings = rings;
   Push(rings, i, TimerRings{++instance.setting});
 }
@@ -193,9 +212,11 @@
   ++sent.packets;
   sent.bytes += bytes->size();
   sent.longest = std::max(sent.longest, bytes->size());
-  if (bytes->size() > o_.settings.membership.datagram) throw std::logic_error("a packet is over its bound");
+  if (bytes->size() > o_.settings.membership.datagram)
+    throw std::logic_error("a packet is over its bound");
   const auto to = by_address_.find(e.address);
-  if (to == by_address_.end() || cuts_.contains({i, to->second})) return;
+  if (to == by_address_.end() || cuts_.contains({i, to->second}))
+    return;
   const auto packet =
       o_.through_bytes ? nullptr : std::make_shared<const membership::Packet>(std::move(e.packet));
   const int copies = (Chance(o_.network.loss) ? 0 : 1) + (Chance(o_.network.doubled) ? 1 : 0);
@@ -204,7 +225,8 @@
 }
 
 void VirtualCluster::Do(int i, cluster::Probe&& e) {
-  if (on_probe) on_probe(i, e.worker);
+  if (on_probe)
+    on_probe(i, e.worker);
   const Micros took = 500 + random_(5'000);
   Push(now_ + took, i, Answers{e.number, took});
 }
