--- a/cmake/pulleyrouterConfig.cmake
+++ /dev/null
@@ -1,1 +0,0 @@
-include("${CMAKE_CURRENT_LIST_DIR}/pulleyrouterTargets.cmake")
--- a/include/pulleyrouter/dispatcher.h
+++ b/include/aldersill/dispatch/dispatcher.h
@@ -1,4 +1,4 @@
-// pulleyrouter: the public interface of the decision module.
+// aldersill::dispatch: the public interface of the decision module.
 //
 // A Dispatcher decides for one node that pushes jobs to workers. It is told events, each at a given time, and
 // answers with actions that the caller carries out at that same time. It does no I/O, reads no clock, starts
@@ -7,8 +7,8 @@
 // All times and durations are whole microseconds. Times are read off any clock that does not run backwards;
 // an event with an earlier time than the one before is handled at that later time. Events and actions own
 // their strings. A Dispatcher may be moved between threads but must not be used by two at once.
-#ifndef PULLEYROUTER_DISPATCHER_H_
-#define PULLEYROUTER_DISPATCHER_H_
+#ifndef ALDERSILL_DISPATCH_DISPATCHER_H_
+#define ALDERSILL_DISPATCH_DISPATCHER_H_
 
 #include <cstdint>
 #include <memory>
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 
 using Micros = std::int64_t;
 enum class RequestId : std::uint64_t {};  // chosen by the caller, below 2^52
@@ -208,6 +208,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
 
-#endif  // PULLEYROUTER_DISPATCHER_H_
+#endif  // ALDERSILL_DISPATCH_DISPATCHER_H_
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -152,10 +152,10 @@
   return items[std::min(i, items.size() - 1)];
 }
 
-pulleyrouter::ClassSettings ReadClass(const Field& f, const Field& family, std::size_t i, int kinds) {
-  using pulleyrouter::KeyScope;
-  using pulleyrouter::Repeat;
-  pulleyrouter::ClassSettings c;
+dispatch::ClassSettings ReadClass(const Field& f, const Field& family, std::size_t i, int kinds) {
+  using dispatch::KeyScope;
+  using dispatch::Repeat;
+  dispatch::ClassSettings c;
   // What makes a class is told, never guessed: a default would hold its requests to the rules of another.
   const std::string time = "a time in microseconds";
   c.name = f["name"].Text();
@@ -191,9 +191,9 @@
   return names;
 }
 
-pulleyrouter::Settings ReadModule(const Field& f) {
-  using Reports = pulleyrouter::Settings::Reports;
-  pulleyrouter::Settings s;
+dispatch::Settings ReadModule(const Field& f) {
+  using Reports = dispatch::Settings::Reports;
+  dispatch::Settings s;
   const std::vector<Field> classes = f["grades"].Items();
   if (!f["grades"].present())
     f["grades"].Missing("the list of classes, each with its name");
@@ -471,7 +471,7 @@
   c.module = ReadModule(settings);
   c.module_text = settings.json().dump();
   try {
-    pulleyrouter::Dispatcher probe(c.module, 0);  // the module's own check of its settings
+    dispatch::Dispatcher probe(c.module, 0);  // the module's own check of its settings
   } catch (const std::invalid_argument& e) {
     throw ConfigError(std::string("settings: ") + e.what());
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
+#include "aldersill/dispatch/dispatcher.h"
 #include "config/operator_settings.h"
 #include "core/types.h"
 #include "net/endpoint.h"
-#include "pulleyrouter/dispatcher.h"
 
 namespace aldersill {
 
@@ -61,7 +61,7 @@
   int memory_mb = 128;
   std::vector<Instance> known;
   std::uint64_t known_version = 0;
-  pulleyrouter::Settings module;
+  dispatch::Settings module;
   std::string module_text;  // the settings as they were written, to tell whether they changed
   Micros dial_timeout = 250 * kMillisecond;
   OperatorSettings own;  // the operator's own file
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -18,7 +18,7 @@
 
 struct Counters {
   std::vector<ClassCounters> classes;         // in the settings' order
-  std::array<std::uint64_t, 8> executions{};  // ended, by pulleyrouter::Outcome
+  std::array<std::uint64_t, 8> executions{};  // ended, by dispatch::Outcome
   std::uint64_t executions_started = 0;
   std::uint64_t executions_handed_over = 0;  // written whole to their instance
   std::uint64_t repeats_barred = 0;
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,9 +6,9 @@
 namespace aldersill {
 namespace {
 
-using pulleyrouter::WorkerList;
+using dispatch::WorkerList;
 
-pulleyrouter::RequestId ModuleId(std::uint64_t number) { return pulleyrouter::RequestId{number}; }
+dispatch::RequestId ModuleId(std::uint64_t number) { return dispatch::RequestId{number}; }
 
 // An operator may name a worker that has long left; no list names as many over the life of a process.
 constexpr std::size_t kMostEverListed = 65'536;
@@ -27,9 +27,9 @@
   if (!fresh)
     return;
   const std::uint64_t number = modules_.empty() ? 0 : modules_.rbegin()->first + 1;
-  modules_.emplace(number, Module{pulleyrouter::Dispatcher(s_.module, s_.seed)});
+  modules_.emplace(number, Module{dispatch::Dispatcher(s_.module, s_.seed)});
   class_of_.clear();
-  for (const pulleyrouter::ClassSettings& c : s_.module.classes) {
+  for (const dispatch::ClassSettings& c : s_.module.classes) {
     const auto same = [&](const ClassCounters& known) { return known.name == c.name; };
     auto counter = std::find_if(counters_.classes.begin(), counters_.classes.end(), same);
     if (counter == counters_.classes.end())
@@ -59,7 +59,7 @@
     actions_.clear();
     acting_ = number;
     module->second.dispatcher.Handle(now_, next, &actions_);
-    for (const pulleyrouter::Action& action : actions_)
+    for (const dispatch::Action& action : actions_)
       std::visit([this](const auto& a) { Do(a); }, action);
   }
   std::erase_if(modules_,
@@ -79,7 +79,7 @@
   }
   const auto [setting, counter] = klass->second;
   ++counters_.classes[counter].taken;
-  const pulleyrouter::ClassSettings& c = s_.module.classes[setting];
+  const dispatch::ClassSettings& c = s_.module.classes[setting];
   const RepeatGuard::Verdict verdict = e.job.guard_repeats ? repeats_.Judge(e.job.id, c, now_)
                                        : e.job.id.empty() || taken_ids_.Take(e.job.id)
                                            ? RepeatGuard::Verdict::kAdmit
@@ -109,8 +109,8 @@
     repeats_.Begin(e.job.id);
   r.job = std::make_shared<const Job>(std::move(e.job));
   by_client_[r.client] = number;
-  TellModuleOf(r, pulleyrouter::Arrival{ModuleId(number), r.job->klass, r.job->tenant, r.job->subject,
-                                        r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
+  TellModuleOf(r, dispatch::Arrival{ModuleId(number), r.job->klass, r.job->tenant, r.job->subject,
+                                    r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
 }
 
 std::vector<JobInHand> Reducer::JobsInHand() const {
@@ -144,7 +144,7 @@
   by_client_.erase(found);
   Request& r = requests_.at(number);
   r.answered = true;
-  TellModuleOf(r, pulleyrouter::ClientGone{ModuleId(number)});
+  TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
   for (const ExecutionNo x : r.executions) {
     if (executions_.erase(x) == 0)
       continue;
@@ -152,7 +152,7 @@
     --r.open;
     TellModuleOf(
         r,
-        pulleyrouter::AttemptEnded{
+        dispatch::AttemptEnded{
             ModuleId(number), static_cast<int>(r.executions.size()) - 1, Outcome::kCancelled, true, 0, {}});
   }
   ForgetIfDone(number);
@@ -191,9 +191,9 @@
   const Request& r = requests_.at(number);
   const auto klass = class_of_.find(r.job->klass);
   const bool known = klass != class_of_.end();
-  const auto c = known ? s_.module.classes[klass->second.setting] : pulleyrouter::ClassSettings{};
-  const bool harmless = c.repeat == pulleyrouter::Repeat::kRepeatable ||
-                        (c.repeat == pulleyrouter::Repeat::kKeyed && c.scope == pulleyrouter::KeyScope::kAll);
+  const auto c = known ? s_.module.classes[klass->second.setting] : dispatch::ClassSettings{};
+  const bool harmless = c.repeat == dispatch::Repeat::kRepeatable ||
+                        (c.repeat == dispatch::Repeat::kKeyed && c.scope == dispatch::KeyScope::kAll);
   if (harmless || (!MayHaveRun(outcome) && !r.may_have_run))
     return Finish(number, Nack{Nack::Why::kAfterAttempts, s_.module.max_retry_after});
   Finish(number, Failure{now_ >= r.deadline ? Failure::Why::kTooLate : Failure::Why::kFailed});
@@ -213,7 +213,7 @@
   Request& r = requests_.at(number);
   r.answered = true;  // nobody is left to answer
   ++counters_.classes[r.counter].left;
-  TellModuleOf(r, pulleyrouter::ClientGone{ModuleId(number)});
+  TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
   // As a module would have it: what is called off is of use to nobody.
   if (r.module == kNoModule && s_.module.cancel)
     return End(r.executions.front(), Outcome::kCancelled, "", {}, true);
@@ -248,7 +248,7 @@
     return;
   TellModuleOf(
       requests_.at(found->second.request),
-      pulleyrouter::Progress{ModuleId(found->second.request), found->second.attempt, e.started, e.share});
+      dispatch::Progress{ModuleId(found->second.request), found->second.attempt, e.started, e.share});
 }
 
 void Reducer::On(ExecutionEnded&& e) {
@@ -271,7 +271,7 @@
     return;
   }
   if (e.key.wait == TimerKey::Wait::kModule)
-    return TellModule(e.key.module, pulleyrouter::TimerFired{e.key.id});
+    return TellModule(e.key.module, dispatch::TimerFired{e.key.id});
   const ExecutionNo number{e.key.id};
   const auto found = executions_.find(number);
   if (found == executions_.end())
@@ -380,7 +380,7 @@
 }
 
 void Reducer::On(ProbeAnswered&& e) {
-  TellModules(pulleyrouter::ProbeDone{e.instance, e.outcome, e.elapsed, e.report});
+  TellModules(dispatch::ProbeDone{e.instance, e.outcome, e.elapsed, e.report});
 }
 
 void Reducer::On(SettingsRefused&&) { ++counters_.reconfigurations_refused; }
@@ -409,7 +409,7 @@
 
 // ---- The module's actions ----
 
-void Reducer::Do(const pulleyrouter::Send& a) {
+void Reducer::Do(const dispatch::Send& a) {
   const std::uint64_t request = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(request);
   if (found == requests_.end())
@@ -424,7 +424,7 @@
     Finish(request, Failure{Failure::Why::kRepeat});
   if (!listed || r.answered || now_ >= r.deadline) {
     // The module's own list cannot differ from ours; were it to, nothing may be sent on its word.
-    TellModuleOf(r, pulleyrouter::AttemptEnded{a.request, attempt, Outcome::kNotSent, r.answered, 0, {}});
+    TellModuleOf(r, dispatch::AttemptEnded{a.request, attempt, Outcome::kNotSent, r.answered, 0, {}});
     return ForgetIfDone(request);
   }
   ++r.open;
@@ -442,7 +442,7 @@
   Ask(StartExecution{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
 }
 
-void Reducer::Do(const pulleyrouter::Cancel& a) {
+void Reducer::Do(const dispatch::Cancel& a) {
   const auto found = requests_.find(static_cast<std::uint64_t>(a.request));
   if (found == requests_.end() || a.attempt < 0 || a.attempt >= std::ssize(found->second.executions))
     return;
@@ -453,7 +453,7 @@
   End(number, x->second.handed_over ? Outcome::kCancelled : Outcome::kNotSent, "", {}, true);
 }
 
-void Reducer::Do(const pulleyrouter::Refuse& a) {
+void Reducer::Do(const dispatch::Refuse& a) {
   // Advice is owed with every nack: without a figure of the module's, the longest a client honours.
   const Micros wait = a.retry_after > 0 ? a.retry_after : s_.module.max_retry_after;
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
@@ -466,7 +466,7 @@
   ForgetIfDone(number);
 }
 
-void Reducer::Do(const pulleyrouter::Fail& a) {
+void Reducer::Do(const dispatch::Fail& a) {
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(number);
   const bool late = found != requests_.end() && now_ >= found->second.deadline;
@@ -474,28 +474,28 @@
   ForgetIfDone(number);
 }
 
-void Reducer::Do(const pulleyrouter::SetTimer& a) {
+void Reducer::Do(const dispatch::SetTimer& a) {
   Ask(SetTimer{{TimerKey::Wait::kModule, a.token, acting_}, a.delay});
 }
 
-void Reducer::Do(const pulleyrouter::Probe& a) {
+void Reducer::Do(const dispatch::Probe& a) {
   const auto known = name_table_.find(a.worker);
   if (known != name_table_.end() && known->second.source == Instance::Source::kDiscovery)
     Ask(ProbeInstance{a.worker, known->second.address});
 }
 
-void Reducer::Do(const pulleyrouter::SubscribeList&) {
+void Reducer::Do(const dispatch::SubscribeList&) {
   if (s_.has_discovery)
     return Ask(WatchNameTable{});
   // Nobody to ask: the sessions' own word is the whole list, and it comes unasked.
   TellModule(acting_, WholeList(WorkerList::Form::kFull));
 }
 
-void Reducer::Do(const pulleyrouter::Log& a) { Ask(LogLine{a.text}); }
+void Reducer::Do(const dispatch::Log& a) { Ask(LogLine{a.text}); }
 
 // ---- Helpers ----
 
-pulleyrouter::WorkerEntry Reducer::ModuleEntry(const Instance& i) const {
+dispatch::WorkerEntry Reducer::ModuleEntry(const Instance& i) const {
   const bool unsure = i.state == Instance::State::kReady && !MayGetNew(i);
 #ifdef ALDERSILL_PLANT_COLD_FOR_WARM  // planted where a search must find it
   return {i.name, unsure ? Instance::State::kDraining : i.state, i.weight, i.kind, i.zone, i.cell, 0};
@@ -509,7 +509,7 @@
 }
 
 std::size_t Reducer::AvoidedWorkers() const {
-  const pulleyrouter::Dispatcher& module = modules_.rbegin()->second.dispatcher;
+  const dispatch::Dispatcher& module = modules_.rbegin()->second.dispatcher;
   return static_cast<std::size_t>(std::ranges::count_if(name_table_, [&](const auto& named) {
     return !MayGetNew(named.second) || module.Avoids(named.first);
   }));
@@ -555,8 +555,8 @@
   }
   if (r.module == kNoModule && !r.answered)
     FinishAdopted(x.request, outcome);
-  TellModuleOf(r, pulleyrouter::AttemptEnded{ModuleId(x.request), x.attempt, outcome, r.answered,
-                                             now_ - x.sent, report});
+  TellModuleOf(
+      r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt, outcome, r.answered, now_ - x.sent, report});
   ForgetIfDone(x.request);
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -13,10 +13,10 @@
 #include <unordered_map>
 #include <vector>
 
+#include "aldersill/dispatch/dispatcher.h"
 #include "core/counters.h"
 #include "core/repeat_guard.h"
 #include "core/types.h"
-#include "pulleyrouter/dispatcher.h"
 
 namespace aldersill {
 
@@ -91,29 +91,29 @@
   void On(SettingsRefused&& e);
   void On(WorkerBanned&& e);
 
-  void Do(const pulleyrouter::Send& a);
-  void Do(const pulleyrouter::Cancel& a);
-  void Do(const pulleyrouter::Refuse& a);
-  void Do(const pulleyrouter::Fail& a);
-  void Do(const pulleyrouter::SetTimer& a);
-  void Do(const pulleyrouter::Probe& a);
-  void Do(const pulleyrouter::SubscribeList& a);
-  void Do(const pulleyrouter::Log& a);
+  void Do(const dispatch::Send& a);
+  void Do(const dispatch::Cancel& a);
+  void Do(const dispatch::Refuse& a);
+  void Do(const dispatch::Fail& a);
+  void Do(const dispatch::SetTimer& a);
+  void Do(const dispatch::Probe& a);
+  void Do(const dispatch::SubscribeList& a);
+  void Do(const dispatch::Log& a);
 
   // Settings read anew get a module of their own; the one before lives on until its last request is done.
   struct Module {
-    pulleyrouter::Dispatcher dispatcher;
+    dispatch::Dispatcher dispatcher;
     std::size_t open = 0;  // requests it decides on
   };
   void Adopt(CoreSettings settings);
-  void TellModule(std::uint64_t module, pulleyrouter::Event event) {
+  void TellModule(std::uint64_t module, dispatch::Event event) {
     for_module_.emplace_back(module, std::move(event));
   }
-  void TellModules(const pulleyrouter::Event& event) {
+  void TellModules(const dispatch::Event& event) {
     for (const auto& [number, module] : modules_)
       TellModule(number, event);
   }
-  void TellModuleOf(const Request& r, pulleyrouter::Event event) {
+  void TellModuleOf(const Request& r, dispatch::Event event) {
     if (r.module != kNoModule)
       TellModule(r.module, std::move(event));
   }
@@ -124,7 +124,7 @@
   // Ends what is decided but not handed over and may not go to its instance any more.
   void WithdrawLate();
   // What the module is told of an instance: one that cannot be vouched for wants nothing new.
-  pulleyrouter::WorkerEntry ModuleEntry(const Instance& i) const;
+  dispatch::WorkerEntry ModuleEntry(const Instance& i) const;
   bool MayGetNew(const Instance& i) const;
   // Whether an execution that is not handed over may still go to its instance. Not to one that has been
   // started anew meanwhile: it is cold, and what cold ones may get is the module's to say.
@@ -135,7 +135,7 @@
   void Withdraw(const std::vector<ExecutionNo>& executions);
   // Of a request that is answered or whose client has left: only what was handed over goes on.
   void ForgetIfDone(std::uint64_t number);
-  pulleyrouter::WorkerList WholeList(pulleyrouter::WorkerList::Form form) const;
+  dispatch::WorkerList WholeList(dispatch::WorkerList::Form form) const;
   void Ask(Effect effect) { effects_->push_back(std::move(effect)); }
 
   CoreSettings s_;
@@ -148,8 +148,8 @@
   bool good_timer_ = false;                      // one is set for it
   Micros now_ = 0;
   std::vector<Effect>* effects_ = nullptr;
-  std::deque<std::pair<std::uint64_t, pulleyrouter::Event>> for_module_;
-  std::vector<pulleyrouter::Action> actions_;
+  std::deque<std::pair<std::uint64_t, dispatch::Event>> for_module_;
+  std::vector<dispatch::Action> actions_;
   std::uint64_t next_request_ = 1;
   std::uint64_t next_execution_ = 1;
   std::unordered_map<std::uint64_t, Request> requests_;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -10,13 +10,13 @@
 #include <variant>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
+#include "aldersill/dispatch/dispatcher.h"
 
 namespace aldersill {
 
-using pulleyrouter::LoadReport;
-using pulleyrouter::Micros;
-using pulleyrouter::Outcome;
+using dispatch::LoadReport;
+using dispatch::Micros;
+using dispatch::Outcome;
 
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
@@ -50,7 +50,7 @@
 
 // An entry of the name table.
 struct Instance {
-  using State = pulleyrouter::WorkerEntry::State;
+  using State = dispatch::WorkerEntry::State;
   enum class Source { kDiscovery, kSession };  // told by discovery, or by a worker's own session here
   std::string name;
   std::string address;
@@ -65,7 +65,7 @@
 
 // What the core is told of its settings, at the start and again whenever the configuration is read anew.
 struct CoreSettings {
-  pulleyrouter::Settings module;
+  dispatch::Settings module;
   bool module_changed =
       true;  // against those before: a module with what it has learnt is not given up for nothing
   std::uint64_t seed = 0;
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -21,7 +21,7 @@
 ClientFrontSettings ForClients(const Config& c) {
   ClientFrontSettings s;
   for (const auto& klass : c.module.classes) {
-    s.keyed[klass.name] = klass.repeat == pulleyrouter::Repeat::kKeyed;
+    s.keyed[klass.name] = klass.repeat == dispatch::Repeat::kKeyed;
     s.longest_deadline = std::max(s.longest_deadline, klass.deadline);
   }
   s.most_connections = static_cast<std::size_t>(Shares(c).clients);
--- a/src/pulleyrouter/fleet.cpp
+++ b/src/dispatch/fleet.cpp
@@ -1,12 +1,12 @@
-#include "pulleyrouter/fleet.h"
+#include "dispatch/fleet.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "pulleyrouter/random.h"
+#include "dispatch/random.h"
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 namespace {
 
 // FNV-1a: places on the ring must be alike on every node, so not std::hash.
@@ -135,4 +135,4 @@
   }
 }
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
--- a/src/pulleyrouter/fleet.h
+++ b/src/dispatch/fleet.h
@@ -1,6 +1,6 @@
 // The worker list as told, indexed for sampling. It keeps records and decides nothing.
-#ifndef PULLEYROUTER_SRC_FLEET_H_
-#define PULLEYROUTER_SRC_FLEET_H_
+#ifndef ALDERSILL_SRC_DISPATCH_FLEET_H_
+#define ALDERSILL_SRC_DISPATCH_FLEET_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -9,10 +9,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
-#include "pulleyrouter/state.h"
+#include "aldersill/dispatch/dispatcher.h"
+#include "dispatch/state.h"
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 
 // The value for a name, or `none`.
 int Lookup(const std::unordered_map<std::string, int>& map, const std::string& name, int none);
@@ -104,6 +104,6 @@
   int home_ = 0;
 };
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
 
-#endif  // PULLEYROUTER_SRC_FLEET_H_
+#endif  // ALDERSILL_SRC_DISPATCH_FLEET_H_
--- a/src/pulleyrouter/policy.cpp
+++ b/src/dispatch/policy.cpp
@@ -1,7 +1,8 @@
-// Every decision of pulleyrouter. The interface (settings, events, actions) is pulleyrouter/dispatcher.h.
-// Berger and Whitt's token-bank throttle with job buffer gates each tenant (Admit, GiveToken); what it lets
-// through goes to a sampled worker of the job's kind expected free, else the least loaded (Pick). Departures
-// are marked "Exception" with the danger that they guard against; docs/design.md lists them.
+// Every decision of the dispatcher. The interface (settings, events, actions) is
+// aldersill/dispatch/dispatcher.h. Berger and Whitt's token-bank throttle with job buffer gates each tenant
+// (Admit, GiveToken); what it lets through goes to a sampled worker of the job's kind expected free, else the
+// least loaded (Pick). Departures are marked "Exception" with the danger that they guard against;
+// docs/design.md lists them.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -10,13 +11,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "pulleyrouter/dispatcher.h"
-#include "pulleyrouter/fleet.h"
-#include "pulleyrouter/random.h"
-#include "pulleyrouter/settings.h"
-#include "pulleyrouter/state.h"
+#include "aldersill/dispatch/dispatcher.h"
+#include "dispatch/fleet.h"
+#include "dispatch/random.h"
+#include "dispatch/settings.h"
+#include "dispatch/state.h"
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 namespace {
 
 constexpr double kSecond = 1e6;
@@ -782,4 +783,4 @@
 }
 bool Dispatcher::Avoids(const std::string& worker) const { return impl_->Avoids(worker); }
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
--- a/src/pulleyrouter/random.h
+++ b/src/dispatch/random.h
@@ -1,11 +1,11 @@
 // A seeded source of random draws that are alike on every platform.
-#ifndef PULLEYROUTER_SRC_RANDOM_H_
-#define PULLEYROUTER_SRC_RANDOM_H_
+#ifndef ALDERSILL_SRC_DISPATCH_RANDOM_H_
+#define ALDERSILL_SRC_DISPATCH_RANDOM_H_
 
 #include <cstdint>
 #include <random>
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 
 // SplitMix64's finaliser: spreads what is alike, the same on every node.
 inline std::uint64_t Mix(std::uint64_t x) {
@@ -27,6 +27,6 @@
   std::mt19937_64 engine_;
 };
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
 
-#endif  // PULLEYROUTER_SRC_RANDOM_H_
+#endif  // ALDERSILL_SRC_DISPATCH_RANDOM_H_
--- a/src/pulleyrouter/settings.cpp
+++ b/src/dispatch/settings.cpp
@@ -1,10 +1,10 @@
-#include "pulleyrouter/settings.h"
+#include "dispatch/settings.h"
 
 #include <cmath>
 #include <stdexcept>
 #include <string>
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 namespace {
 
 void Require(bool holds, const std::string& setting, const std::string& must) {
@@ -67,4 +67,4 @@
   return s;
 }
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
--- a/src/pulleyrouter/state.h
+++ b/src/dispatch/state.h
@@ -1,6 +1,6 @@
 // What a dispatcher remembers: plain records. The decisions on them are in policy.cpp.
-#ifndef PULLEYROUTER_SRC_STATE_H_
-#define PULLEYROUTER_SRC_STATE_H_
+#ifndef ALDERSILL_SRC_DISPATCH_STATE_H_
+#define ALDERSILL_SRC_DISPATCH_STATE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -10,10 +10,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
-#include "pulleyrouter/random.h"
+#include "aldersill/dispatch/dispatcher.h"
+#include "dispatch/random.h"
 
-namespace pulleyrouter {
+namespace aldersill::dispatch {
 
 struct Attempt {
   int worker = -1;
@@ -170,6 +170,6 @@
   return free;
 }
 
-}  // namespace pulleyrouter
+}  // namespace aldersill::dispatch
 
-#endif  // PULLEYROUTER_SRC_STATE_H_
+#endif  // ALDERSILL_SRC_DISPATCH_STATE_H_
--- a/src/pulleyrouter_wire/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "pulleyrouter_wire/codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <optional>
 
-namespace pulleyrouter::wire {
+namespace aldersill::dispatch::simulator {
 namespace {
 
 [[noreturn]] void Bad(std::string_view name, std::string_view value, std::string_view wanted) {
@@ -420,4 +420,4 @@
   out->push_back('\n');
 }
 
-}  // namespace pulleyrouter::wire
+}  // namespace aldersill::dispatch::simulator
--- a/src/pulleyrouter_wire/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,7 +1,7 @@
 // The simulator's wire: lines of tab-separated name=value parts. Reads events, writes actions, decides
 // nothing.
-#ifndef PULLEYROUTER_WIRE_SRC_CODEC_H_
-#define PULLEYROUTER_WIRE_SRC_CODEC_H_
+#ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
+#define ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
 
 #include <cstdint>
 #include <stdexcept>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
+#include "aldersill/dispatch/dispatcher.h"
 
-namespace pulleyrouter::wire {
+namespace aldersill::dispatch::simulator {
 
 // Malformed input; the text names what is wrong, the host adds the line number.
 class WireError : public std::runtime_error {
@@ -61,6 +61,6 @@
 void WriteAction(std::int64_t instance, const Action& action, std::string* out);
 void WriteFault(std::int64_t instance, std::string_view message, std::string* out);
 
-}  // namespace pulleyrouter::wire
+}  // namespace aldersill::dispatch::simulator
 
-#endif  // PULLEYROUTER_WIRE_SRC_CODEC_H_
+#endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
--- a/src/pulleyrouter_wire/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -1,4 +1,4 @@
-#include "pulleyrouter_wire/host.h"
+#include "simulator_adapter/host.h"
 
 #include <cstdint>
 #include <exception>
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "pulleyrouter_wire/codec.h"
+#include "simulator_adapter/codec.h"
 
-namespace pulleyrouter::wire {
+namespace aldersill::dispatch::simulator {
 namespace {
 
 class Host {
@@ -140,9 +140,9 @@
     }
     return 0;
   } catch (const WireError& e) {
-    errors << "pulleyrouter_wirehost: line " << host.line_number() << ": " << e.what() << "\n";
+    errors << "simulator_adapter: line " << host.line_number() << ": " << e.what() << "\n";
     return 1;
   }
 }
 
-}  // namespace pulleyrouter::wire
+}  // namespace aldersill::dispatch::simulator
--- a/src/pulleyrouter_wire/host.h
+++ b/src/simulator_adapter/host.h
@@ -1,16 +1,16 @@
 // Runs many isolated dispatchers over one stream of batches.
-#ifndef PULLEYROUTER_WIRE_SRC_HOST_H_
-#define PULLEYROUTER_WIRE_SRC_HOST_H_
+#ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_HOST_H_
+#define ALDERSILL_SRC_SIMULATOR_ADAPTER_HOST_H_
 
 #include <istream>
 #include <ostream>
 
-namespace pulleyrouter::wire {
+namespace aldersill::dispatch::simulator {
 
 // Serves batches until the end of input. Returns 0, or 1 after writing one message to `errors` when the input
 // is malformed; `out` never carries anything but whole replies.
 int Serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
-}  // namespace pulleyrouter::wire
+}  // namespace aldersill::dispatch::simulator
 
-#endif  // PULLEYROUTER_WIRE_SRC_HOST_H_
+#endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_HOST_H_
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -11,7 +11,7 @@
       static_cast<std::uint32_t>(std::min<std::uint64_t>(value, std::numeric_limits<std::uint32_t>::max()))};
 }
 
-// In the order of pulleyrouter::Outcome.
+// In the order of dispatch::Outcome.
 constexpr const char* kOutcomes[] = {"served",        "error", "full",      "timeout",
                                      "connectFailed", "lost",  "cancelled", "notSent"};
 
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -16,7 +16,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 enum class Case {
@@ -430,4 +430,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -83,8 +83,7 @@
  private:
   static CoreSettings Settings() {
     CoreSettings s;
-    s.module.classes = {
-        {.name = "fast", .deadline = 10 * kSecond, .repeat = pulleyrouter::Repeat::kRepeatable}};
+    s.module.classes = {{.name = "fast", .deadline = 10 * kSecond, .repeat = dispatch::Repeat::kRepeatable}};
     return s;
   }
   Micros now_ = kSecond;
--- a/tests/daemon/core_test.cpp
+++ b/tests/daemon/core_test.cpp
@@ -20,16 +20,14 @@
 
 CoreSettings Settings() {
   CoreSettings s;
-  s.module.classes = {{.name = "safe",
-                       .target = 400'000,
-                       .deadline = 5 * kSecond,
-                       .repeat = pulleyrouter::Repeat::kRepeatable},
-                      {.name = "keyed",
-                       .target = 400'000,
-                       .deadline = 5 * kSecond,
-                       .repeat = pulleyrouter::Repeat::kKeyed,
-                       .window = kSecond},
-                      {.name = "once", .target = 400'000, .deadline = 5 * kSecond}};
+  s.module.classes = {
+      {.name = "safe", .target = 400'000, .deadline = 5 * kSecond, .repeat = dispatch::Repeat::kRepeatable},
+      {.name = "keyed",
+       .target = 400'000,
+       .deadline = 5 * kSecond,
+       .repeat = dispatch::Repeat::kKeyed,
+       .window = kSecond},
+      {.name = "once", .target = 400'000, .deadline = 5 * kSecond}};
   s.module.subscribe = true;
   s.module.cancel = true;
   s.module.max_attempts = 5;
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -103,7 +103,7 @@
 
 // ---- An adopted job in the core ----
 
-FinalAnswer AnswerToAdopted(pulleyrouter::Repeat repeat, Outcome outcome, bool may_have_run = false) {
+FinalAnswer AnswerToAdopted(dispatch::Repeat repeat, Outcome outcome, bool may_have_run = false) {
   CoreSettings settings;
   settings.module.classes = {{.name = "job", .repeat = repeat, .window = kSecond}};
   Reducer reducer(settings);
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("an adopted job is answered once, and refused only where its class allows that") {
-  using pulleyrouter::Repeat;
+  using dispatch::Repeat;
   for (const Repeat repeat : {Repeat::kRepeatable, Repeat::kKeyed, Repeat::kUnsafe}) {
     const bool unsafe = repeat == Repeat::kUnsafe;
     CHECK(std::holds_alternative<Served>(AnswerToAdopted(repeat, Outcome::kServed)));
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -1,6 +1,6 @@
 // Drives one dispatcher event by event and keeps what it answered.
-#ifndef PULLEYROUTER_TESTS_DRIVER_H_
-#define PULLEYROUTER_TESTS_DRIVER_H_
+#ifndef ALDERSILL_TESTS_DRIVER_H_
+#define ALDERSILL_TESTS_DRIVER_H_
 
 #include <cstdint>
 #include <map>
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
+#include "aldersill/dispatch/dispatcher.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 
 constexpr Micros kSecond = 1'000'000;
 
@@ -134,6 +134,6 @@
   return static_cast<int>(Only<T>(actions).size());
 }
 
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
 
-#endif  // PULLEYROUTER_TESTS_DRIVER_H_
+#endif  // ALDERSILL_TESTS_DRIVER_H_
--- a/tests/embedding/main.cpp
+++ b/tests/embedding/main.cpp
@@ -1,10 +1,10 @@
 #include <iostream>
 #include <vector>
 
-#include "pulleyrouter/dispatcher.h"
+#include "aldersill/dispatch/dispatcher.h"
 
 int main() {
-  using namespace pulleyrouter;
+  using namespace aldersill::dispatch;
   Settings settings;
   ClassSettings price;
   price.name = "price";
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -6,7 +6,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 LoadReport FreeSlots(double free) {
@@ -627,4 +627,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/floors_test.cpp
+++ b/tests/floors_test.cpp
@@ -12,7 +12,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 struct Count {
@@ -176,4 +176,4 @@
 TEST(Floors, NoClassOrTenantStarvesAtUsualLoad) { NobodyStarves(0.7, 0.25); }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/module_size_test.cpp
+++ b/tests/module_size_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(ModuleSize, StaysWithinItsLinesAndColumns) {
-  std::ifstream module(std::string(PULLEYROUTER_SOURCE_DIR) + "/src/pulleyrouter/policy.cpp");
+  std::ifstream module(std::string(ALDERSILL_SOURCE_DIR) + "/src/dispatch/policy.cpp");
   ASSERT_TRUE(module);
   int lines = 0;
   for (std::string line; std::getline(module, line);) {
@@ -19,10 +19,10 @@
 }
 
 TEST(ModuleSize, DeployFileNamesTheModuleAlone) {
-  std::ifstream deploy(std::string(PULLEYROUTER_SOURCE_DIR) + "/deploy/balancer.toml");
+  std::ifstream deploy(std::string(ALDERSILL_SOURCE_DIR) + "/deploy/balancer.toml");
   bool found = false;
   for (std::string line; std::getline(deploy, line);)
-    found = found || line == "policy = [\"src/pulleyrouter/policy.cpp\"]";
+    found = found || line == "policy = [\"src/dispatch/policy.cpp\"]";
   EXPECT_TRUE(found);
 }
 
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -9,7 +9,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 constexpr int kWorkers = 12;
@@ -220,4 +220,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -7,7 +7,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 constexpr const char* kClasses[] = {"repeatable", "keyed", "unsafe"};
@@ -456,4 +456,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/throttle_test.cpp
+++ b/tests/throttle_test.cpp
@@ -6,7 +6,7 @@
 
 #include "driver.h"
 
-namespace pulleyrouter::testing {
+namespace aldersill::dispatch::testing {
 namespace {
 
 // One tenant, one token a second. The bank holds widest + 8 mean jobs + 1 + 2 sqrt(1) = 12 slots, the buffer
@@ -233,4 +233,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::testing
+}  // namespace aldersill::dispatch::testing
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -4,10 +4,10 @@
 #include <sstream>
 #include <string>
 
-#include "pulleyrouter_wire/codec.h"
-#include "pulleyrouter_wire/host.h"
+#include "simulator_adapter/codec.h"
+#include "simulator_adapter/host.h"
 
-namespace pulleyrouter::wire {
+namespace aldersill::dispatch::simulator {
 namespace {
 
 const char kBirth[] =
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace pulleyrouter::wire
+}  // namespace aldersill::dispatch::simulator
