--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -21,9 +21,9 @@
   try {
     if (argc != 2)
       throw std::invalid_argument("usage: toy_platform PORT");
-    const RunJob run = [](const std::string& id, const std::string& klass) {
+    const RunJob run = [](const std::string& id, const std::string& job_class) {
       std::this_thread::sleep_for(std::chrono::milliseconds(300));
-      std::printf("ran %s %s\n", klass.c_str(), id.c_str());
+      std::printf("ran %s %s\n", job_class.c_str(), id.c_str());
       std::fflush(stdout);
       return Fate::kDone;
     };
--- a/include/aldersill/dispatch/dispatcher.h
+++ b/include/aldersill/dispatch/dispatcher.h
@@ -35,8 +35,8 @@
   Micros target = 100'000;      // an answer within this earns the full worth
   Micros deadline = 1'000'000;  // a client waits this long over all its tries
   double stretch = 0.0;         // the target grows by this multiple of the job's own running time
-  double worth = 1.0;
-  double late_worth = 0.0;  // share of the worth earned after the target, before the deadline
+  double priority_weight = 1.0;
+  double late_priority_weight = 0.0;  // share of the worth earned after the target, before the deadline
   Repeat repeat = Repeat::kUnsafe;
   KeyScope scope = KeyScope::kAll;  // kKeyed only
   Micros window = 0;                // kKeyed only: from the send of the first attempt that may have run
@@ -58,10 +58,11 @@
   std::vector<std::string> zones;
   std::string zone;  // this node's; empty if unknown
   int nodes = 1;     // nodes of this tier, this one included
-  double over_share_worth = 1.0;
-  bool worth_by_work = false;  // a class's worth is for each unit of its work, else for each request
-  bool subscribe = false;      // the worker list must be asked for
-  bool tells_start = false;
+  double over_share_priority_weight = 1.0;
+  bool priority_weight_by_work =
+      false;               // a class's worth is for each unit of its work, else for each request
+  bool subscribe = false;  // the worker list must be asked for
+  bool reports_start = false;
   Micros progress = 0;  // time between progress notes, 0 for none
   enum class Reports { kNone, kWithAnswers, kProbesOnly } reports = Reports::kNone;
   // What is allowed.
@@ -101,7 +102,7 @@
 };
 struct Arrival {
   RequestId request{};
-  std::string klass;
+  std::string job_class;
   std::string tenant;
   std::optional<std::uint64_t> key;  // data that the job needs and a worker may have at hand
   Micros time_left = 0;              // until the client abandons this try
@@ -111,11 +112,11 @@
 };
 struct StreamStarted {
   RequestId request{};
-  int attempt = 0;
+  int attempt_number = 0;
 };
 struct Progress {
   RequestId request{};
-  int attempt = 0;
+  int attempt_number = 0;
   bool started = false;  // true: the job has begun to run; false: `share` of it is done
   double share = 0.0;
 };
@@ -134,7 +135,7 @@
 };
 struct AttemptEnded {
   RequestId request{};
-  int attempt = 0;
+  int attempt_number = 0;
   Outcome outcome = Outcome::kServed;
   bool request_ended = false;  // the request is over; nothing further is owed
   Micros elapsed = 0;
@@ -167,7 +168,7 @@
 };
 struct Cancel {
   RequestId request{};
-  int attempt = 0;
+  int attempt_number = 0;
 };
 struct Refuse {  // final; promises that trying again is harmless
   RequestId request{};
--- a/src/budgets/grantor.cpp
+++ b/src/budgets/grantor.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Grantor::Grantor(Settings settings)
-    : s_(std::move(settings)), digest_(Digest(s_)), books_(s_.budgets.size()) {}
+    : settings_(std::move(settings)), digest_(Digest(settings_)), books_(settings_.budgets.size()) {}
 
 void Grantor::Handle(Micros now, GrantorEvent event, std::vector<GrantorEffect>* effects) {
   now_ = std::max(now_, now);
@@ -35,16 +35,17 @@
   term_ = e.term;
   members_.clear();
   for (std::size_t i = 0; i < books_.size(); ++i) {
-    const Budget& b = s_.budgets[i];
+    const Budget& b = settings_.budgets[i];
     books_[i] = Book{};
     books_[i].window = WindowAt(b, now_);
 #ifndef ALDERSILL_PLANT_DEALS_AT_ONCE  // the defect that the search must find (tests/budgets)
     if (b.kind == Kind::kAmount) {
       // Its predecessor's clock may have been ahead, and the window a later one there.
-      books_[i].learning_until = static_cast<Micros>(WindowAt(b, now_ + s_.most_apart) + 1) * b.window;
+      books_[i].learning_until = static_cast<Micros>(WindowAt(b, now_ + settings_.most_apart) + 1) * b.window;
     } else {
       books_[i].learning_until =
-          now_ + s_.grant + static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * s_.most_drift));
+          now_ + settings_.grant +
+          static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
     }
 #endif
   }
@@ -57,7 +58,7 @@
 void Grantor::CatchUp() {
   for (std::size_t i = 0; i < books_.size(); ++i) {
     Book& book = books_[i];
-    if (const std::uint64_t window = WindowAt(s_.budgets[i], now_); window != book.window) {
+    if (const std::uint64_t window = WindowAt(settings_.budgets[i], now_); window != book.window) {
       const Micros learning_until = book.learning_until;
       book = Book{};
       book.window = window, book.learning_until = learning_until;
@@ -101,7 +102,7 @@
 #ifdef ALDERSILL_PLANT_FORGETS_LIVES
       Count(&books_[i], before, 0, kNever);
 #else
-      if (s_.budgets[i].kind == Kind::kRate)
+      if (settings_.budgets[i].kind == Kind::kRate)
         Count(&books_[i], before, 0, kNever);
 #endif
     }
@@ -150,7 +151,7 @@
   }
   if (changed_ && now_ >= divide_at_)
     DivideAll();
-  Answer answer{*term_, ask.epoch, ask.number, s_.grant, {}};
+  Answer answer{*term_, ask.epoch, ask.number, settings_.grant, {}};
   const Key key{e.from, ask.epoch};
   for (std::size_t i = 0; i < books_.size(); ++i)
     answer.lines.push_back(Deal(i, key, member, ask.lines[i]));
@@ -160,7 +161,7 @@
 }
 
 AnswerLine Grantor::Deal(std::size_t i, const Key& key, const Member& member, const AskLine& line) {
-  const Budget& b = s_.budgets[i];
+  const Budget& b = settings_.budgets[i];
   Book& book = books_[i];
   AnswerLine answer{0, line.window, Learning(i, now_)};
   if (line.window != book.window)
@@ -172,16 +173,16 @@
   Units before = 0;
   for (const auto& [name, m] : members_)
     before += &m == &member ? 0 : m.lines[i].target;
-  const Units room = std::max<Units>(0, Dealt(b, s_.instances) - before - others);
+  const Units room = std::max<Units>(0, Dealt(b, settings_.instances) - before - others);
 #else
-  const Units room = std::max<Units>(0, Dealt(b, s_.instances) - (book.sum - OutOf(book, key)));
+  const Units room = std::max<Units>(0, Dealt(b, settings_.instances) - (book.sum - OutOf(book, key)));
 #endif
   if (!member.leaving)
     answer.share = std::min(answer.renewal ? shown_share : member.lines[i].target, room);
   // It has what it shows, or what it is answered, whichever is more, until it shows which.
-  Micros until = now_ + s_.grant;
+  Micros until = now_ + settings_.grant;
   if (b.kind == Kind::kLevel)
-    until += static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * s_.most_drift));
+    until += static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
   if (b.kind == Kind::kAmount)
     until = kNever;  // what may be used is used, until the window ends
   Count(&book, key, std::max(shown, answer.share), until);
@@ -195,7 +196,7 @@
   // Who has nothing and was not heard of for long. Not sooner: its number tells its late asks from new ones.
   std::erase_if(members_, [this](const auto& item) {
     const auto& [name, member] = item;
-    if (member.heard_at + 2 * s_.grant >= now_)
+    if (member.heard_at + 2 * settings_.grant >= now_)
       return false;
     return std::all_of(books_.begin(), books_.end(), [key = Key{name, member.epoch}, this](const Book& book) {
       return OutOf(book, key) == 0;
@@ -206,7 +207,7 @@
 }
 
 void Grantor::DivideOne(std::size_t i) {
-  const Units whole = Dealt(s_.budgets[i], s_.instances);
+  const Units whole = Dealt(settings_.budgets[i], settings_.instances);
   const Book& book = books_[i];
   std::vector<Claim> claims;
   std::vector<Line*> lines;
@@ -214,7 +215,7 @@
   for (auto& [name, member] : members_) {
     const Units own = OutOf(book, {name, member.epoch});
     gone -= own;
-    const bool lost = member.leaving || member.heard_at + s_.grant < now_;
+    const bool lost = member.leaving || member.heard_at + settings_.grant < now_;
     if (lost) {
       gone += own;
       member.lines[i].target = 0;
--- a/src/budgets/grantor.h
+++ b/src/budgets/grantor.h
@@ -101,7 +101,7 @@
   void DivideOne(std::size_t i);
   AnswerLine Deal(std::size_t i, const Key& key, const Member& member, const AskLine& line);
 
-  const Settings s_;
+  const Settings settings_;
   const std::uint64_t digest_;
   Micros now_ = 0;
   std::vector<GrantorEffect>* effects_ = nullptr;
--- a/src/budgets/purse.cpp
+++ b/src/budgets/purse.cpp
@@ -16,12 +16,12 @@
 }  // namespace
 
 Purse::Purse(Settings settings)
-    : s_(std::move(settings)),
-      digest_(Digest(s_)),
-      soon_(s_.grant / 20),
-      retry_(s_.grant / 8),
-      calm_(s_.grant / 4),
-      pockets_(s_.budgets.size()) {}
+    : settings_(std::move(settings)),
+      digest_(Digest(settings_)),
+      soon_(settings_.grant / 20),
+      retry_(settings_.grant / 8),
+      calm_(settings_.grant / 4),
+      pockets_(settings_.budgets.size()) {}
 
 void Purse::Handle(Micros now, PurseEvent event, std::vector<PurseEffect>* effects) {
   CatchUp(now);
@@ -30,7 +30,7 @@
   if (!lapsed_ && now_ >= until_) {
     lapsed_ = true;
     ++counters_.lapsed;
-    effects_->push_back(PurseSays{{ErrorCode::kNoGrant, s_.name}});
+    effects_->push_back(PurseSays{{ErrorCode::kNoGrant, settings_.name}});
   }
 }
 
@@ -41,8 +41,8 @@
 }
 
 int Purse::Index(std::string_view budget) const {
-  for (std::size_t i = 0; i < s_.budgets.size(); ++i) {
-    if (s_.budgets[i].name == budget)
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i) {
+    if (settings_.budgets[i].name == budget)
       return static_cast<int>(i);
   }
   return -1;
@@ -51,33 +51,34 @@
 // ---- What may be used ----
 
 Units Purse::CarefulNow(const Budget& b, Micros now) const {
-  if (s_.seat > s_.instances || left_)
+  if (settings_.seat > settings_.instances || left_)
     return 0;
 #ifdef ALDERSILL_PLANT_CAREFUL_TWICE  // the defect that the search must find (tests/budgets)
   static_cast<void>(now);
 #else
   // What the seat's former life took of it may be in use still, or used in this window.
   const Micros drifted =
-      started_at_ + static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * s_.most_drift));
+      started_at_ + static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
   if (b.kind == Kind::kLevel && now < drifted)
     return 0;
-  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + s_.most_apart))
+  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + settings_.most_apart))
     return 0;
 #endif
-  return Careful(b, s_.instances);
+  return Careful(b, settings_.instances);
 }
 
 double Purse::Cap(const Budget& b, Units share) const {
-  const double own = s_.seat <= s_.instances ? 1.0 : 0.0;
-  return own + static_cast<double>(b.burst - s_.instances) * static_cast<double>(share) /
-                   static_cast<double>(std::max<Units>(1, Dealt(b, s_.instances)));
+  const double own = settings_.seat <= settings_.instances ? 1.0 : 0.0;
+  return own + static_cast<double>(b.burst - settings_.instances) * static_cast<double>(share) /
+                   static_cast<double>(std::max<Units>(1, Dealt(b, settings_.instances)));
 }
 
 void Purse::FillTo(const Budget& b, Pocket* p, Units share, Micros to) const {
   if (to <= p->filled_at)
     return;
   // A fast clock must not make more of a second than there is in it.
-  const double rate = static_cast<double>(share + CarefulNow(b, to)) / kUnitsAStart * (1 - s_.most_drift);
+  const double rate =
+      static_cast<double>(share + CarefulNow(b, to)) / kUnitsAStart * (1 - settings_.most_drift);
   p->tokens = std::min(p->tokens + rate * Seconds(to - p->filled_at), Cap(b, share));
   p->filled_at = to;
 }
@@ -94,7 +95,7 @@
 void Purse::CatchUp(Micros now) {
   now_ = std::max(now_, now);
   for (std::size_t i = 0; i < pockets_.size(); ++i) {
-    const Budget& b = s_.budgets[i];
+    const Budget& b = settings_.budgets[i];
     Pocket& p = pockets_[i];
     if (b.kind == Kind::kRate)
       Fill(b, &p, now_);
@@ -110,7 +111,7 @@
   const int i = Index(budget);
   if (i < 0 || left_)
     return 0;
-  const Budget& b = s_.budgets[i];
+  const Budget& b = settings_.budgets[i];
   // A share of a window is of no other, also where nothing has happened here since.
   const Units share = pockets_[i].window == WindowAt(b, now) ? ShareNow(pockets_[i], now) : 0;
   return share + CarefulNow(b, now);
@@ -123,7 +124,7 @@
   if (left_)
     return ErrorCode::kLeaving;
   CatchUp(now);
-  const Budget& b = s_.budgets[i];
+  const Budget& b = settings_.budgets[i];
   Pocket& p = pockets_[i];
   p.attempts += count;
 #ifdef ALDERSILL_PLANT_CHECKS_NO_END
@@ -147,12 +148,12 @@
     AskSoon();
   if (granted)
     return ErrorCode::kUsedUp;
-  return s_.seat > s_.instances ? ErrorCode::kNoSeat : ErrorCode::kNoGrant;
+  return settings_.seat > settings_.instances ? ErrorCode::kNoSeat : ErrorCode::kNoGrant;
 }
 
 void Purse::Free(Micros now, std::string_view budget, std::int64_t count) {
   const int i = Index(budget);
-  if (i < 0 || s_.budgets[i].kind != Kind::kLevel)
+  if (i < 0 || settings_.budgets[i].kind != Kind::kLevel)
     return;
   CatchUp(now);
   pockets_[i].used = std::max<std::int64_t>(0, pockets_[i].used - count);
@@ -216,9 +217,9 @@
   if (holder_.empty())
     return;
   Measure();
-  Ask ask{s_.epoch, ++number_, digest_, s_.weight, left_, {}};
+  Ask ask{settings_.epoch, ++number_, digest_, settings_.weight, left_, {}};
   for (std::size_t i = 0; i < pockets_.size(); ++i) {
-    const Budget& b = s_.budgets[i];
+    const Budget& b = settings_.budgets[i];
     Pocket& p = pockets_[i];
     AskLine line;
     p.told = left_ ? 0 : Demand(b, p);
@@ -242,8 +243,8 @@
   for (Pocket& p : pockets_)
     p.filled_at = now_;
   due_ = now_;
-  if (s_.seat > s_.instances)
-    effects_->push_back(PurseSays{{ErrorCode::kNoSeat, s_.name}});
+  if (settings_.seat > settings_.instances)
+    effects_->push_back(PurseSays{{ErrorCode::kNoSeat, settings_.name}});
 }
 
 void Purse::On(const HolderIs& e) {
@@ -281,14 +282,14 @@
 #else
   const bool last = a.number == number_ && !answered_;
 #endif
-  if (left_ || a.epoch != s_.epoch || !last || a.term < term_ || a.lines.size() != pockets_.size()) {
+  if (left_ || a.epoch != settings_.epoch || !last || a.term < term_ || a.lines.size() != pockets_.size()) {
     ++counters_.stale;
     return;
   }
 #ifdef ALDERSILL_PLANT_NO_MARGIN
   const double margin = 0.0;
 #else
-  const double margin = 2.0 * s_.most_drift;
+  const double margin = 2.0 * settings_.most_drift;
 #endif
   const Micros until = asked_at_ + static_cast<Micros>(static_cast<double>(a.lasts) * (1.0 - margin));
   const bool had = now_ < until_;
--- a/src/budgets/purse.h
+++ b/src/budgets/purse.h
@@ -75,7 +75,7 @@
   bool Granted(Micros now) const { return now < until_; }
   std::uint64_t term() const { return term_; }
   const PurseCounters& counters() const { return counters_; }
-  const Settings& settings() const { return s_; }
+  const Settings& settings() const { return settings_; }
 
  private:
   struct Pocket {
@@ -108,7 +108,7 @@
   void AskSoon() { due_ = std::min(due_, std::max(now_, asked_at_ + (answered_ ? soon_ : retry_))); }
   int Index(std::string_view budget) const;
 
-  const Settings s_;
+  const Settings settings_;
   const std::uint64_t digest_;
   // Between asks: at least, where there is no answer (a way there and back must take less), and in calm.
   const Micros soon_, retry_, calm_;
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -8,9 +8,9 @@
 namespace aldersill::cluster {
 
 Cluster::Cluster(Settings settings, std::uint64_t seed)
-    : s_(std::move(settings)), seed_(seed), membership_(s_.membership, seed) {
-  if (s_.probing)
-    probing_.emplace(*s_.probing, seed + 1);
+    : settings_(std::move(settings)), seed_(seed), membership_(settings_.membership, seed) {
+  if (settings_.probing)
+    probing_.emplace(*settings_.probing, seed + 1);
 }
 
 void Cluster::Handle(Micros now, Event event, std::vector<Effect>* effects) {
@@ -31,13 +31,13 @@
 // ---- Events ----
 
 void Cluster::On(Start&& e) {
-  for (std::size_t i = 0; i < s_.exclusive.size(); ++i) {
-    duties::LeaseSettings lease{s_.exclusive[i], s_.membership.name, e.epoch,
-                                s_.voters,       s_.lease,           s_.most_drift};
-    leases_.emplace(s_.exclusive[i], duties::Lease(std::move(lease), seed_ + 2 + i));
+  for (std::size_t i = 0; i < settings_.exclusive.size(); ++i) {
+    duties::LeaseSettings lease{settings_.exclusive[i], settings_.membership.name, e.epoch,
+                                settings_.voters,       settings_.lease,           settings_.most_drift};
+    leases_.emplace(settings_.exclusive[i], duties::Lease(std::move(lease), seed_ + 2 + i));
   }
   ToMembership(membership::Started{e.epoch});
-  ToProbing(duties::MemberCame{s_.membership.name, s_.membership.weight});
+  ToProbing(duties::MemberCame{settings_.membership.name, settings_.membership.weight});
   for (auto& [duty, lease] : leases_)
     ToLease(&lease, duties::LeaseStarted{});
 }
@@ -64,7 +64,7 @@
   for (auto& [duty, lease] : leases_)
     ToLease(&lease, duties::GiveUp{});
   ToMembership(membership::LeaveAsked{});
-  ToProbing(duties::MemberWent{s_.membership.name});
+  ToProbing(duties::MemberWent{settings_.membership.name});
 }
 
 // ---- What the parts ask for ----
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -103,7 +103,7 @@
   void ToProbing(duties::ProbeEvent event);
   void ToLease(duties::Lease* lease, duties::LeaseEvent event);
 
-  const Settings s_;
+  const Settings settings_;
   const std::uint64_t seed_;
   Micros now_ = 0;
   std::vector<Effect>* effects_ = nullptr;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -161,8 +161,8 @@
   c.name = f["name"].Text();
   c.target = f["target"].Required(time).PositiveTime(0);
   c.deadline = f["deadline"].Required(time).PositiveTime(0);
-  c.worth = f["worth"].NotNegative(c.worth);
-  c.late_worth = f["lateValue"].Fraction(c.late_worth);
+  c.priority_weight = f["worth"].NotNegative(c.priority_weight);
+  c.late_priority_weight = f["lateValue"].Fraction(c.late_priority_weight);
   c.streaming = f["streaming"].Bool(c.streaming);
   c.repeat = OneOf<Repeat>(
       f["repeat"], "",
@@ -220,12 +220,12 @@
   s.zones = ReadNames(f["zones"]);
   s.zone = f["locality"].Text("");
   s.nodes = f["peersTotal"].AtLeast(1, s.nodes);
-  s.over_share_worth = f["overShareWorth"].Fraction(s.over_share_worth);
-  s.worth_by_work = OneOf<bool>(f["valueBy"], "request", {{"request", false}, {"work", true}});
+  s.over_share_priority_weight = f["overShareWorth"].Fraction(s.over_share_priority_weight);
+  s.priority_weight_by_work = OneOf<bool>(f["valueBy"], "request", {{"request", false}, {"work", true}});
   // Where nothing is told it is asked: a service that is asked as an agent would be is overbooked, the
   // reverse is slow.
   s.subscribe = OneOf<bool>(f["discovery"], "subscribe", {{"automatic", false}, {"subscribe", true}});
-  s.tells_start = f["familyInfo"]["tellsStart"].Bool(s.tells_start);
+  s.reports_start = f["familyInfo"]["tellsStart"].Bool(s.reports_start);
   s.progress = f["familyInfo"]["progress"].Time(s.progress);
   s.reports = OneOf<Reports>(
       f["report"]["how"], "silent",
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -23,13 +23,13 @@
 
 void Reducer::Adopt(CoreSettings settings) {
   const bool fresh = modules_.empty() || settings.module_changed;
-  s_ = std::move(settings);
+  settings_ = std::move(settings);
   if (!fresh)
     return;
   const std::uint64_t number = modules_.empty() ? 0 : modules_.rbegin()->first + 1;
-  modules_.emplace(number, Module{dispatch::Dispatcher(s_.module, s_.seed)});
+  modules_.emplace(number, Module{dispatch::Dispatcher(settings_.module, settings_.seed)});
   class_of_.clear();
-  for (const dispatch::ClassSettings& c : s_.module.classes) {
+  for (const dispatch::ClassSettings& c : settings_.module.classes) {
     const auto same = [&](const ClassCounters& known) { return known.name == c.name; };
     auto counter = std::find_if(counters_.classes.begin(), counters_.classes.end(), same);
     if (counter == counters_.classes.end())
@@ -72,14 +72,14 @@
 // ---- Events ----
 
 void Reducer::On(RequestTaken&& e) {
-  const auto klass = class_of_.find(e.job.klass);
-  if (klass == class_of_.end()) {  // fronts answer these themselves; whoever doesn't must not crash us
+  const auto job_class = class_of_.find(e.job.job_class);
+  if (job_class == class_of_.end()) {  // fronts answer these themselves; whoever doesn't must not crash us
     Ask(Answer{e.client, Failure{}});
     return;
   }
-  const auto [setting, counter] = klass->second;
+  const auto [setting, counter] = job_class->second;
   ++counters_.classes[counter].taken;
-  const dispatch::ClassSettings& c = s_.module.classes[setting];
+  const dispatch::ClassSettings& c = settings_.module.classes[setting];
   const RepeatGuard::Verdict verdict = e.job.guard_repeats ? repeats_.Judge(e.job.id, c, now_)
                                        : e.job.id.empty() || taken_ids_.Take(e.job.id)
                                            ? RepeatGuard::Verdict::kAdmit
@@ -90,7 +90,7 @@
     ++(never ? counters_.classes[counter].failed : counters_.classes[counter].nacked);
     if (never)
       return Ask(Answer{e.client, Failure{Failure::Why::kRepeat}});
-    return Ask(Answer{e.client, Nack{Nack::Why::kRepeatOut, s_.module.max_retry_after}});
+    return Ask(Answer{e.client, Nack{Nack::Why::kRepeatOut, settings_.module.max_retry_after}});
   }
   const std::uint64_t number = next_request_++;
   Request& r = requests_[number];
@@ -100,7 +100,7 @@
   ++modules_.rbegin()->second.open;
   r.taken = now_;
   // A tenth at most, or a client in a hurry would get no try at all.
-  const Micros margin = std::min(s_.answer_margin, e.job.time_left / 10);
+  const Micros margin = std::min(settings_.answer_margin, e.job.time_left / 10);
   // Nobody waits longer than its class allows, whatever it says: such a request would sit on what others
   // need.
   r.deadline = now_ + std::min(e.job.time_left, c.deadline) - margin;
@@ -109,7 +109,7 @@
     repeats_.Begin(e.job.id);
   r.job = std::make_shared<const Job>(std::move(e.job));
   by_client_[r.client] = number;
-  TellModuleOf(r, dispatch::Arrival{ModuleId(number), r.job->klass, r.job->tenant, r.job->subject,
+  TellModuleOf(r, dispatch::Arrival{ModuleId(number), r.job->job_class, r.job->tenant, r.job->subject,
                                     r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
 }
 
@@ -159,14 +159,14 @@
 }
 
 void Reducer::On(JobAdopted&& e) {
-  const auto klass = class_of_.find(e.job.klass);
-  if (klass == class_of_.end())
+  const auto job_class = class_of_.find(e.job.job_class);
+  if (job_class == class_of_.end())
     return Ask(Answer{e.client, Failure{}});
   const std::uint64_t number = next_request_++;
   const ExecutionNo execution{next_execution_++};
   Request& r = requests_[number];
   r.client = e.client;
-  r.counter = klass->second.counter;
+  r.counter = job_class->second.counter;
   r.module = kNoModule;
   r.may_have_run = e.may_have_run;
   r.taken = now_;
@@ -189,13 +189,13 @@
 
 void Reducer::FinishAdopted(std::uint64_t number, Outcome outcome) {
   const Request& r = requests_.at(number);
-  const auto klass = class_of_.find(r.job->klass);
-  const bool known = klass != class_of_.end();
-  const auto c = known ? s_.module.classes[klass->second.setting] : dispatch::ClassSettings{};
+  const auto job_class = class_of_.find(r.job->job_class);
+  const bool known = job_class != class_of_.end();
+  const auto c = known ? settings_.module.classes[job_class->second.setting] : dispatch::ClassSettings{};
   const bool harmless = c.repeat == dispatch::Repeat::kRepeatable ||
                         (c.repeat == dispatch::Repeat::kKeyed && c.scope == dispatch::KeyScope::kAll);
   if (harmless || (!MayHaveRun(outcome) && !r.may_have_run))
-    return Finish(number, Nack{Nack::Why::kAfterAttempts, s_.module.max_retry_after});
+    return Finish(number, Nack{Nack::Why::kAfterAttempts, settings_.module.max_retry_after});
   Finish(number, Failure{now_ >= r.deadline ? Failure::Why::kTooLate : Failure::Why::kFailed});
 }
 
@@ -215,7 +215,7 @@
   ++counters_.classes[r.counter].left;
   TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
   // As a module would have it: what is called off is of use to nobody.
-  if (r.module == kNoModule && s_.module.cancel)
+  if (r.module == kNoModule && settings_.module.cancel)
     return End(r.executions.front(), Outcome::kCancelled, "", {}, true);
   ForgetIfDone(number);
 }
@@ -248,7 +248,7 @@
     return;
   TellModuleOf(
       requests_.at(found->second.request),
-      dispatch::Progress{ModuleId(found->second.request), found->second.attempt, e.started, e.share});
+      dispatch::Progress{ModuleId(found->second.request), found->second.attempt_number, e.started, e.share});
 }
 
 void Reducer::On(ExecutionEnded&& e) {
@@ -416,7 +416,7 @@
     return;
   Request& r = found->second;
   const ExecutionNo number{next_execution_++};
-  const int attempt = static_cast<int>(r.executions.size());
+  const int attempt_number = static_cast<int>(r.executions.size());
   r.executions.push_back(number);
   const auto known = name_table_.find(a.worker);
   const bool listed = known != name_table_.end() && MayGetNew(known->second);
@@ -424,7 +424,7 @@
     Finish(request, Failure{Failure::Why::kRepeat});
   if (!listed || r.answered || now_ >= r.deadline) {
     // The module's own list cannot differ from ours; were it to, nothing may be sent on its word.
-    TellModuleOf(r, dispatch::AttemptEnded{a.request, attempt, Outcome::kNotSent, r.answered, 0, {}});
+    TellModuleOf(r, dispatch::AttemptEnded{a.request, attempt_number, Outcome::kNotSent, r.answered, 0, {}});
     return ForgetIfDone(request);
   }
   ++r.open;
@@ -433,10 +433,11 @@
   const Micros until = a.give_up_at > 0 ? std::min(a.give_up_at, r.deadline) : r.deadline;
   const Micros start_by = std::min(a.start_by > 0 ? std::min(a.start_by, until) : until, r.start_by);
   executions_[number] =
-      Execution{request, attempt, a.worker, to.source, to.started, now_, start_by, until, false, 0};
+      Execution{request, attempt_number, a.worker, to.source, to.started, now_, start_by, until, false, 0};
   const bool fetches = to.source == Instance::Source::kSession;
-  Ask(SetTimer{{TimerKey::Wait::kHandover, static_cast<std::uint64_t>(number)},
-               std::clamp<Micros>(start_by - now_, 1, fetches ? s_.fetch_patience : s_.dial_timeout)});
+  Ask(SetTimer{
+      {TimerKey::Wait::kHandover, static_cast<std::uint64_t>(number)},
+      std::clamp<Micros>(start_by - now_, 1, fetches ? settings_.fetch_patience : settings_.dial_timeout)});
   Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(number)},
                std::max<Micros>(1, until - now_)});
   Ask(StartExecution{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
@@ -444,9 +445,10 @@
 
 void Reducer::Do(const dispatch::Cancel& a) {
   const auto found = requests_.find(static_cast<std::uint64_t>(a.request));
-  if (found == requests_.end() || a.attempt < 0 || a.attempt >= std::ssize(found->second.executions))
+  if (found == requests_.end() || a.attempt_number < 0 ||
+      a.attempt_number >= std::ssize(found->second.executions))
     return;
-  const ExecutionNo number = found->second.executions[a.attempt];
+  const ExecutionNo number = found->second.executions[a.attempt_number];
   const auto x = executions_.find(number);
   if (x == executions_.end())
     return;
@@ -455,7 +457,7 @@
 
 void Reducer::Do(const dispatch::Refuse& a) {
   // Advice is owed with every nack: without a figure of the module's, the longest a client honours.
-  const Micros wait = a.retry_after > 0 ? a.retry_after : s_.module.max_retry_after;
+  const Micros wait = a.retry_after > 0 ? a.retry_after : settings_.module.max_retry_after;
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(number);
   const bool tried = found != requests_.end() && !found->second.executions.empty();
@@ -485,7 +487,7 @@
 }
 
 void Reducer::Do(const dispatch::SubscribeList&) {
-  if (s_.has_discovery)
+  if (settings_.has_discovery)
     return Ask(WatchNameTable{});
   // Nobody to ask: the sessions' own word is the whole list, and it comes unasked.
   TellModule(acting_, WholeList(WorkerList::Form::kFull));
@@ -555,8 +557,8 @@
   }
   if (r.module == kNoModule && !r.answered)
     FinishAdopted(x.request, outcome);
-  TellModuleOf(
-      r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt, outcome, r.answered, now_ - x.sent, report});
+  TellModuleOf(r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt_number, outcome, r.answered,
+                                         now_ - x.sent, report});
   ForgetIfDone(x.request);
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -39,7 +39,7 @@
   std::vector<JobInHand> JobsInHand() const;
   const std::set<std::string>& banned() const { return banned_; }
   // Whether the worker list may be acted on, and discovery, where there is one, has told it to this process.
-  bool ListConfirmed() const { return !distrusted_ && (heard_ || !s_.has_discovery); }
+  bool ListConfirmed() const { return !distrusted_ && (heard_ || !settings_.has_discovery); }
 
  private:
   // Of an adopted job, on which no module decides: it is not tried again here.
@@ -61,7 +61,7 @@
   };
   struct Execution {
     std::uint64_t request = 0;
-    int attempt = 0;
+    int attempt_number = 0;
     std::string instance;
     Instance::Source source = Instance::Source::kDiscovery;
     Micros instance_started = 0;  // as told when it was sent
@@ -138,7 +138,7 @@
   dispatch::WorkerList WholeList(dispatch::WorkerList::Form form) const;
   void Ask(Effect effect) { effects_->push_back(std::move(effect)); }
 
-  CoreSettings s_;
+  CoreSettings settings_;
   std::map<std::uint64_t, Module> modules_;      // the last is the one for new requests
   std::uint64_t acting_ = 0;                     // the one whose actions are being carried out
   bool watched_ = false;                         // discovery's list came whole, and its changes come
@@ -161,7 +161,7 @@
   std::set<std::string> ever_listed_;  // kMostEverListed at most
   std::set<std::string> banned_;
   struct Class {
-    int setting = 0;  // in s_.module.classes
+    int setting = 0;  // in settings_.module.classes
     int counter = 0;  // in counters_.classes
   };
   std::unordered_map<std::string, Class> class_of_;
--- a/src/core/repeat_guard.h
+++ b/src/core/repeat_guard.h
@@ -21,25 +21,27 @@
   static constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
   // Whether a job of this id may be taken now.
-  Verdict Judge(const std::string& id, const dispatch::ClassSettings& klass, Micros now) const {
+  Verdict Judge(const std::string& id, const dispatch::ClassSettings& job_class, Micros now) const {
     const auto found = jobs_.find(id);
     if (found == jobs_.end())
       return Verdict::kAdmit;
     const Entry& e = found->second;
     if (e.in_progress)
       return Verdict::kNever;  // two at once would be two attempts out at once
-    const bool in_window = klass.repeat == dispatch::Repeat::kKeyed && now - e.first_run < klass.window;
-    if (e.first_run != 0 && klass.repeat != dispatch::Repeat::kRepeatable && !in_window)
+    const bool in_window =
+        job_class.repeat == dispatch::Repeat::kKeyed && now - e.first_run < job_class.window;
+    if (e.first_run != 0 && job_class.repeat != dispatch::Repeat::kRepeatable && !in_window)
       return Verdict::kNever;
     return e.still_out > 0 ? Verdict::kNotNow : Verdict::kAdmit;
   }
   // Until when one that may be taken now may begin to run: what is taken may wait.
-  Micros MayStartUntil(const std::string& id, const dispatch::ClassSettings& klass) const {
+  Micros MayStartUntil(const std::string& id, const dispatch::ClassSettings& job_class) const {
     const auto found = jobs_.find(id);
     const bool bound =
-        found != jobs_.end() && found->second.first_run != 0 && klass.repeat == dispatch::Repeat::kKeyed;
-    return bound && klass.window < kNever - found->second.first_run ? found->second.first_run + klass.window
-                                                                    : kNever;
+        found != jobs_.end() && found->second.first_run != 0 && job_class.repeat == dispatch::Repeat::kKeyed;
+    return bound && job_class.window < kNever - found->second.first_run
+               ? found->second.first_run + job_class.window
+               : kNever;
   }
   void Begin(const std::string& id) {
     Entry& e = jobs_[id];
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -33,7 +33,7 @@
 // What a service client asked for, decoded once by its front and encoded once by the link that runs it.
 struct Job {
   std::string id;  // the client's own: Req-Id, jid
-  std::string klass;
+  std::string job_class;
   std::string tenant;
   std::optional<std::uint64_t> subject;  // what the request is about: requests of one subject share data
   std::string idempotency_key;
--- a/src/daemon/faktory_part.cpp
+++ b/src/daemon/faktory_part.cpp
@@ -15,8 +15,8 @@
   s.silence = c.own.faktory.worker_silence;
   s.return_within = c.own.faktory.worker_return;
   s.most_connections = Shares(c).sessions;
-  for (const auto& klass : c.module.classes)
-    s.classes.emplace(klass.name, klass.deadline);
+  for (const auto& job_class : c.module.classes)
+    s.classes.emplace(job_class.name, job_class.deadline);
   return s;
 }
 
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -20,9 +20,9 @@
 
 ClientFrontSettings ForClients(const Config& c) {
   ClientFrontSettings s;
-  for (const auto& klass : c.module.classes) {
-    s.keyed[klass.name] = klass.repeat == dispatch::Repeat::kKeyed;
-    s.longest_deadline = std::max(s.longest_deadline, klass.deadline);
+  for (const auto& job_class : c.module.classes) {
+    s.keyed[job_class.name] = job_class.repeat == dispatch::Repeat::kKeyed;
+    s.longest_deadline = std::max(s.longest_deadline, job_class.deadline);
   }
   s.most_connections = static_cast<std::size_t>(Shares(c).clients);
   s.shares_endpoint = c.mgmt.has_value();
--- a/src/dispatch/policy.cpp
+++ b/src/dispatch/policy.cpp
@@ -55,16 +55,17 @@
 
 class Dispatcher::Impl {
  public:
-  Impl(Settings settings, std::uint64_t seed) : s_(Checked(std::move(settings))), random_(seed), fleet_(s_) {
-    for (const TenantSettings& t : s_.tenants) {
+  Impl(Settings settings, std::uint64_t seed)
+      : settings_(Checked(std::move(settings))), random_(seed), fleet_(settings_) {
+    for (const TenantSettings& t : settings_.tenants) {
       tenant_of_.emplace(t.name, static_cast<int>(tenants_.size()));
       tenants_.emplace_back().share = t.share;
       if (t.quota_per_s)
-        quota_ += *t.quota_per_s / s_.nodes;
+        quota_ += *t.quota_per_s / settings_.nodes;
     }
     // Jobs of no listed tenant live on what others leave, where there are shares.
-    tenants_.emplace_back().share = s_.tenants.empty() ? 1.0 : 1e-6;
-    for (const ClassSettings& c : s_.classes) {
+    tenants_.emplace_back().share = settings_.tenants.empty() ? 1.0 : 1e-6;
+    for (const ClassSettings& c : settings_.classes) {
       class_of_.emplace(c.name, static_cast<int>(run_time_.size()));
       run_time_.push_back(static_cast<double>(c.target));
       median_run_.push_back(static_cast<double>(c.target));
@@ -107,15 +108,15 @@
     for (Tenant& t : tenants_)
       t.tokens = BankSize(t) / 2;
     next_token_ = now_ + static_cast<Micros>(random_.Uniform() * kSecond / rate_);
-    if (s_.subscribe)
-      SetTimerIn(static_cast<Micros>(random_.Uniform() * s_.must_ask_in / 100), kListTimer, 0);
+    if (settings_.subscribe)
+      SetTimerIn(static_cast<Micros>(random_.Uniform() * settings_.must_ask_in / 100), kListTimer, 0);
   }
 
   // Tokens a second for one node: its part of the quotas; failing those, of what the listed workers can run.
   double StartRate() const {
     if (quota_ > 0.0)
       return std::max(1.0, quota_ * mean_tokens_);
-    return std::max(1.0, fleet_.ready_slots() * kSecond / mean_job_ * mean_tokens_ / s_.nodes);
+    return std::max(1.0, fleet_.ready_slots() * kSecond / mean_job_ * mean_tokens_ / settings_.nodes);
   }
 
   // Tokens a second that the jobs of late asked for; where no quota tells what to start from, of those since
@@ -147,11 +148,12 @@
     Tenant& t = tenants_[r->tenant];
     // Exception: k counts slots, and more where a class's running time is dear for its worth, told for a job
     // or for each unit of its work. By starts alone long jobs of little worth crowd out short ones of much.
-    const double price = (s_.worth_by_work ? 1.0 : run_time_[r->klass]) / std::max(1e-3, Class(*r).worth);
+    const double price = (settings_.priority_weight_by_work ? 1.0 : run_time_[r->job_class]) /
+                         std::max(1e-3, Class(*r).priority_weight);
     mean_price_ += kLearn * (price - mean_price_);
     r->tokens = std::max(r->slots, static_cast<int>(std::lround(r->slots * price / mean_price_)));
     mean_tokens_ += kLearn * (r->tokens - mean_tokens_);
-    mean_job_ += kLearn * (r->slots * run_time_[r->klass] - mean_job_);
+    mean_job_ += kLearn * (r->slots * run_time_[r->job_class] - mean_job_);
     t.widest = std::max(t.widest, r->tokens);
     if (arriving_ == 0.0 && quota_ == 0.0)
       counted_from_ = now_;
@@ -248,12 +250,12 @@
   void On(const Arrival& a) {
     if (requests_.Has(a.request))
       return;
-    const int klass = Lookup(class_of_, a.klass, kNone);
+    const int job_class = Lookup(class_of_, a.job_class, kNone);
     // Nothing was sent: harmless to try elsewhere.
-    if (klass == kNone || a.time_left <= 0)
+    if (job_class == kNone || a.time_left <= 0)
       return out_->push_back(Refuse{a.request});
     Request& r = requests_.Add(a.request);
-    r.klass = klass;
+    r.job_class = job_class;
     r.tenant = Lookup(tenant_of_, a.tenant, static_cast<int>(tenants_.size()) - 1);
     r.slots = std::max(1, a.slots);
     r.arrived = now_;
@@ -280,7 +282,7 @@
   }
 
   // How long the answer to a job may take before its worker's silence tells something.
-  double Patience(const Request& r) const { return kPatience * (Slack(r) + run_time_[r.klass]); }
+  double Patience(const Request& r) const { return kPatience * (Slack(r) + run_time_[r.job_class]); }
 
   // Exception: a worker that takes jobs and answers none holds them to the deadline, and no outcome tells of
   // it. Where nothing at all has come from it since a job was sent there too long ago, it is left alone as
@@ -300,11 +302,11 @@
         SetTimerIn(static_cast<Micros>(patience) - std::min(waited, quiet), kSilenceTimer, r->id);
         continue;
       }
-      if (s_.probes && (w.asked_at == 0 || now_ - w.asked_at >= patience)) {
+      if (settings_.probes && (w.asked_at == 0 || now_ - w.asked_at >= patience)) {
         w.asked_at = now_;
         out_->push_back(Probe{w.name});
       }
-      if (s_.probes && now_ - w.asked_at + 1000 < kAnswerWithin) {
+      if (settings_.probes && now_ - w.asked_at + 1000 < kAnswerWithin) {
         SetTimerIn(kAnswerWithin - (now_ - w.asked_at), kSilenceTimer, r->id);
         continue;
       }
@@ -313,8 +315,9 @@
       const ClassSettings& c = Class(*r);
       const bool harmless =
           c.repeat == Repeat::kRepeatable || (c.repeat == Repeat::kKeyed && waited < c.window);
-      const bool again = harmless && s_.cancel && r->deadline - now_ > patience / 2 &&
-                         std::ssize(r->attempts) < s_.max_attempts && tenants_[r->tenant].tokens >= r->tokens;
+      const bool again = harmless && settings_.cancel && r->deadline - now_ > patience / 2 &&
+                         std::ssize(r->attempts) < settings_.max_attempts &&
+                         tenants_[r->tenant].tokens >= r->tokens;
       if (!again || std::exchange(a.called_off, true))
         continue;
       out_->push_back(Cancel{r->id, static_cast<int>(i)});
@@ -330,11 +333,11 @@
   // The ledger of rule 2: until when a further attempt is harmless whatever the earlier ones did; 0: never.
   Micros MayStartUntil(const Request& r) const {
     const ClassSettings& c = Class(r);
-    if (r.ended || r.streaming || std::ssize(r.attempts) >= s_.max_attempts)
+    if (r.ended || r.streaming || std::ssize(r.attempts) >= settings_.max_attempts)
       return 0;
     Micros until = r.deadline;
     for (const Attempt& a : r.attempts) {
-      if ((a.open && !s_.second_copies) || (a.may_have_run && c.repeat == Repeat::kUnsafe))
+      if ((a.open && !settings_.second_copies) || (a.may_have_run && c.repeat == Repeat::kUnsafe))
         return 0;
       if (a.may_have_run && c.repeat == Repeat::kKeyed)
         until = a.sent + std::min(c.window, until - a.sent);
@@ -359,15 +362,15 @@
 
   // When the tenant's tokens will have paid for the job; spread, or those refused together return together.
   Micros RetryAfter(const Request& r) {
-    if (!s_.retry_after)
+    if (!settings_.retry_after)
       return 0;
     const Tenant& t = tenants_[r.tenant];
     const double pay = (r.tokens + t.unpaid) * kSecond / (rate_ * t.share);
-    return std::min(s_.max_retry_after, static_cast<Micros>(pay * (0.5 + random_.Uniform())));
+    return std::min(settings_.max_retry_after, static_cast<Micros>(pay * (0.5 + random_.Uniform())));
   }
 
   void CallOff(Request* r, const Attempt* keep) {
-    for (std::size_t i = 0; s_.cancel && i < r->attempts.size(); ++i) {
+    for (std::size_t i = 0; settings_.cancel && i < r->attempts.size(); ++i) {
       Attempt& a = r->attempts[i];
       if (!a.open || &a == keep || std::exchange(a.called_off, true))
         continue;
@@ -376,13 +379,13 @@
   }
 
   void On(const StreamStarted& e) {
-    if (requests_.FindOpen(e.request, e.attempt) != nullptr)
+    if (requests_.FindOpen(e.request, e.attempt_number) != nullptr)
       requests_.At(e.request).streaming = true;
-    On(Progress{e.request, e.attempt, true, 0.0});
+    On(Progress{e.request, e.attempt_number, true, 0.0});
   }
 
   void On(const Progress& e) {
-    Attempt* a = requests_.FindOpen(e.request, e.attempt);
+    Attempt* a = requests_.FindOpen(e.request, e.attempt_number);
     if (a == nullptr || a->started != 0)
       return;
     Request& r = requests_.At(e.request);
@@ -402,11 +405,11 @@
 
   // How late a job of middling length may start and still be in time; few of a long-tailed class are average.
   double Slack(const Request& r) const {
-    return Class(r).target + std::max(0.0, Class(r).stretch - 1.0) * median_run_[r.klass];
+    return Class(r).target + std::max(0.0, Class(r).stretch - 1.0) * median_run_[r.job_class];
   }
 
   void On(const AttemptEnded& e) {
-    Attempt* a = requests_.FindOpen(e.request, e.attempt);
+    Attempt* a = requests_.FindOpen(e.request, e.attempt_number);
     if (a == nullptr)
       return;
     Request& r = requests_.At(e.request);
@@ -463,7 +466,7 @@
   // worth, and the price of crossing zones. `extra` is time lost on the way, in average running times.
   double Cost(Worker* w, const Request& r, double extra) {
     Fade(w);
-    const double run = run_time_[r.klass];
+    const double run = run_time_[r.job_class];
     const double short_of = r.slots - FreeSlots(*w);
     const double wait = short_of > 8.0 ? short_of : std::log1p(std::exp(2.0 * short_of)) / 2.0;
     const double slower = fleet_.zone_of(*w).start_delay - fleet_.home_zone().start_delay;
@@ -476,7 +479,7 @@
     const double late = std::exp(-left / (queued + 0.05));
     // A slot taken where few are free is missed by the next job: free ones go first even if none is late.
     return 1.0 - (1.0 - late) * (1.0 - w->errors) + kScarce * (queued + extra) +
-           (away ? s_.price_cross_zone : 0.0);
+           (away ? settings_.price_cross_zone : 0.0);
   }
 
   // Expected free slots: the worker's own report, trusted less as it ages, else its kind's average; less what
@@ -490,9 +493,11 @@
     return usual + trust * (w.reported_free - w.sent_since - usual);
   }
 
-  bool Cold(const Worker& w) const { return w.since > 0 && now_ - w.since < s_.warm_after; }
+  bool Cold(const Worker& w) const { return w.since > 0 && now_ - w.since < settings_.warm_after; }
   double WarmShare(const Worker& w) const {  // of its capacity, at the least: it warms no slower than evenly
-    return !Cold(w) ? 1.0 : s_.cold_share + (1.0 - s_.cold_share) * Since(w.since) / s_.warm_after;
+    return !Cold(w)
+               ? 1.0
+               : settings_.cold_share + (1.0 - settings_.cold_share) * Since(w.since) / settings_.warm_after;
   }
 
   // Exception: rule 4. A cold worker gets from all nodes a rate at which even chance clusters stay below what
@@ -504,10 +509,10 @@
     std::erase_if(cold_, [this](int w) {
       return !Cold(fleet_.worker(w)) || fleet_.worker(w).state != WorkerEntry::State::kReady;
     });
-    const double size = r.slots * run_time_[r.klass] / mean_job_;
+    const double size = r.slots * run_time_[r.job_class] / mean_job_;
     if (cold_.empty() || size > kShort)
       return kNone;
-    const Micros since = std::min(now_ - std::exchange(drawn_at_, now_), s_.fall / 3);
+    const Micros since = std::min(now_ - std::exchange(drawn_at_, now_), settings_.fall / 3);
     double sizes = 0.0, classes = 0.0, parts = 0.0;
     for (const double run : run_time_) {
       const bool is_short = run <= kShort * mean_job_;
@@ -527,12 +532,13 @@
     // deviations fit under the bound. Three quarters for the window, a third of these for what was kept.
     // A node that began a while ago knows running times by its targets alone, which may tell little of them:
     // all workers are not taken to run far more than the quotas promise.
-    const double quotas = quota_ > 0.0 ? kOverQuota * quota_ * s_.nodes / kSecond : 1.0;
-    const double jobs_run = std::min(fleet_.ready_slots() / mean_job_, quotas) * fleet_.part(w) * s_.fall;
-    const double bears = s_.overload_factor * WarmShare(w) * jobs_run;
+    const double quotas = quota_ > 0.0 ? kOverQuota * quota_ * settings_.nodes / kSecond : 1.0;
+    const double jobs_run =
+        std::min(fleet_.ready_slots() / mean_job_, quotas) * fleet_.part(w) * settings_.fall;
+    const double bears = settings_.overload_factor * WarmShare(w) * jobs_run;
     const double v = kVaries * r.slots * sizes / classes;
     const double root = std::sqrt(4.0 * v + bears) - std::sqrt(4.0 * v);
-    const double jobs = 0.75 * root * root * since / s_.fall / s_.nodes;
+    const double jobs = 0.75 * root * root * since / settings_.fall / settings_.nodes;
     return random_.Uniform() < parts / fleet_.part(w) * jobs / size ? cold_[at] : kNone;
   }
 
@@ -665,21 +671,21 @@
     if (failed > 0.0)
       return;
     const double ran = Since(a.started != 0 ? a.started : a.sent);
-    double& usual = run_time_[r.klass];
+    double& usual = run_time_[r.job_class];
     // Clipped: one heavy job or pause convicts nobody.
     const double pace = std::clamp(ran / usual, 0.25, 4.0);
     fleet_.kind_of(*w).pace += kLearn * (pace - fleet_.kind_of(*w).pace);
     w->pace += kLearnWorker * (pace - w->pace);
     usual += kLearn * (ran - usual);
-    median_run_[r.klass] *= ran > median_run_[r.klass] ? 1.0 + kLearn : 1.0 - kLearn;
-    if (!s_.tells_start)
+    median_run_[r.job_class] *= ran > median_run_[r.job_class] ? 1.0 + kLearn : 1.0 - kLearn;
+    if (!settings_.reports_start)
       LearnRate(ran <= Slack(r) + usual ? kUp : -kDown);
   }
 
   // Where only probes bring reports: one a request, the price is the same at any size; some to other zones.
   void ProbeNext() {
     const Pool& pool = random_.Draw(4) == 0 ? fleet_.All(-1) : fleet_.InZone(-1, fleet_.home());
-    if (!s_.probes || s_.reports != Settings::Reports::kProbesOnly || pool.empty())
+    if (!settings_.probes || settings_.reports != Settings::Reports::kProbesOnly || pool.empty())
       return;
     out_->push_back(Probe{fleet_.worker(pool[random_.Draw(pool.size())]).name});
   }
@@ -701,7 +707,7 @@
       return;
     out_->push_back(SubscribeList{});
     // A call that is never answered is made again well before the list counts as known without it.
-    ask_wait_ = std::clamp<Micros>(2 * ask_wait_, s_.must_ask_in / 32, s_.must_ask_in / 4);
+    ask_wait_ = std::clamp<Micros>(2 * ask_wait_, settings_.must_ask_in / 32, settings_.must_ask_in / 4);
     SetTimerIn(ask_wait_ + static_cast<Micros>(random_.Uniform() * ask_wait_), kListTimer, 0);
   }
 
@@ -709,7 +715,7 @@
     if (list.form == WorkerList::Form::kFailed) {
       Tell("worker list: call or subscription failed");
       // Spread: nodes lose their subscriptions together and must not all call at once.
-      const double wait = random_.Uniform() * s_.must_ask_in / 32;
+      const double wait = random_.Uniform() * settings_.must_ask_in / 32;
       if (std::exchange(subscribed_, false))
         SetTimerIn(static_cast<Micros>(wait), kListTimer, 0);
       return;
@@ -726,7 +732,7 @@
     }
   }
 
-  const ClassSettings& Class(const Request& r) const { return s_.classes[r.klass]; }
+  const ClassSettings& Class(const Request& r) const { return settings_.classes[r.job_class]; }
   double MeanRunTime() const {
     return std::accumulate(run_time_.begin(), run_time_.end(), 0.0) / run_time_.size();
   }
@@ -742,7 +748,7 @@
     out_->push_back(SetTimer{std::max<Micros>(delay, 1), token});
   }
 
-  const Settings s_;
+  const Settings settings_;
   Random random_;
   std::vector<Action>* out_ = nullptr;
   Micros now_ = 0;
--- a/src/dispatch/settings.cpp
+++ b/src/dispatch/settings.cpp
@@ -24,8 +24,8 @@
   Require(c.target > 0, at + "target", "must be positive");
   Require(c.deadline > 0, at + "deadline", "must be positive");
   RequireNotNegative(c.stretch, at + "stretch");
-  RequireNotNegative(c.worth, at + "worth");
-  RequireFraction(c.late_worth, at + "late_worth");
+  RequireNotNegative(c.priority_weight, at + "worth");
+  RequireFraction(c.late_priority_weight, at + "late_worth");
   Require(c.window >= 0, at + "window", "must not be negative");
   Require(c.repeat != Repeat::kKeyed || c.window > 0, at + "window",
           "must be positive where repeats are keyed");
@@ -50,7 +50,7 @@
   Require(shares > 0.0, "tenants", "must hold a share between them");
   Require(s.nodes >= 1, "nodes", "must be at least 1");
   Require(s.max_attempts >= 1, "max_attempts", "must be at least 1");
-  RequireFraction(s.over_share_worth, "over_share_worth");
+  RequireFraction(s.over_share_priority_weight, "over_share_worth");
   Require(s.progress >= 0, "progress", "must not be negative");
   Require(s.max_retry_after >= 0, "max_retry_after", "must not be negative");
   Require(s.answer_slack >= 0, "answer_slack", "must not be negative");
--- a/src/dispatch/state.h
+++ b/src/dispatch/state.h
@@ -26,7 +26,7 @@
 
 struct Request {
   RequestId id{};
-  int klass = 0;
+  int job_class = 0;
   int tenant = 0;
   int slots = 1;
   int tokens = 1;  // k: what it pays
@@ -70,11 +70,11 @@
   }
   void Erase(RequestId id) { requests_.erase(id); }
   // The open attempt of this number, or null.
-  Attempt* FindOpen(RequestId id, int attempt) {
+  Attempt* FindOpen(RequestId id, int attempt_number) {
     Request* r = Find(id);
-    if (r == nullptr || attempt < 0 || attempt >= std::ssize(r->attempts))
+    if (r == nullptr || attempt_number < 0 || attempt_number >= std::ssize(r->attempts))
       return nullptr;
-    return r->attempts[attempt].open ? &r->attempts[attempt] : nullptr;
+    return r->attempts[attempt_number].open ? &r->attempts[attempt_number] : nullptr;
   }
 
  private:
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Lease::Lease(LeaseSettings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {}
+Lease::Lease(LeaseSettings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {}
 
 void Lease::Handle(Micros now, LeaseEvent event, std::vector<LeaseEffect>* effects) {
   now_ = std::max(now_, now);
@@ -29,7 +29,7 @@
   Micros due = kNever;
   if (term_)
     due = held_until_;
-  if (gave_up_ || !IsVoter(s_.name))
+  if (gave_up_ || !IsVoter(settings_.name))
     return due;
   return std::min(due, phase_ == Phase::kIdle ? next_try_ : phase_ends_);
 }
@@ -43,7 +43,7 @@
 }
 
 bool Lease::IsVoter(const std::string& name) const {
-  return std::find(s_.voters.begin(), s_.voters.end(), name) != s_.voters.end();
+  return std::find(settings_.voters.begin(), settings_.voters.end(), name) != settings_.voters.end();
 }
 
 Micros Lease::Drawn(Micros least, Micros most) {
@@ -55,19 +55,20 @@
 void Lease::On(const LeaseStarted&) {
   // Longer than any lease that an earlier life may have accepted, by the slowest clock against the fastest.
 #ifndef ALDERSILL_PLANT_HASTY_VOTER  // the defect that the search must find (tests/duties)
-  silent_until_ = now_ + static_cast<Micros>(static_cast<double>(s_.lease) * (1.0 + 3.0 * s_.most_drift));
+  silent_until_ =
+      now_ + static_cast<Micros>(static_cast<double>(settings_.lease) * (1.0 + 3.0 * settings_.most_drift));
 #endif
-  next_try_ = std::max(silent_until_, now_) + Drawn(0, s_.lease / 10);
+  next_try_ = std::max(silent_until_, now_) + Drawn(0, settings_.lease / 10);
 }
 
 void Lease::On(LeaseHeard&& e) {
-  if (!IsVoter(s_.name) || !IsVoter(e.from))
+  if (!IsVoter(settings_.name) || !IsVoter(e.from))
     return;
   std::visit([&](const auto& m) { On(e.from, m); }, e.message);
 }
 
 void Lease::On(const LeaseTime&) {
-  if (gave_up_ || !IsVoter(s_.name))
+  if (gave_up_ || !IsVoter(settings_.name))
     return;
   if (phase_ == Phase::kIdle && now_ >= next_try_)
     Begin();
@@ -92,7 +93,7 @@
 
 void Lease::CheckRound() {
   if (phase_ != Phase::kIdle && now_ >= phase_ends_)
-    Retreat(Drawn(s_.lease / 20, s_.lease / 10));
+    Retreat(Drawn(settings_.lease / 20, settings_.lease / 10));
 }
 
 // ---- The voter ----
@@ -119,7 +120,7 @@
   promised_ = accepted_ballot_ = m.ballot;
   accepted_ = m.holder;
   // One whose settings differ must not have this voter believe in a lease longer than any that it waits for.
-  accepted_until_ = now_ + std::clamp<Micros>(m.lease, 0, s_.lease);
+  accepted_until_ = now_ + std::clamp<Micros>(m.lease, 0, settings_.lease);
   Tell(from, Accepted{m.ballot});
 }
 
@@ -127,18 +128,18 @@
   if (accepted_ && *accepted_ == m.holder)
     accepted_.reset();
   if (phase_ == Phase::kIdle && !term_)
-    next_try_ = std::min(next_try_, now_ + Drawn(0, s_.lease / 20));
+    next_try_ = std::min(next_try_, now_ + Drawn(0, settings_.lease / 20));
 }
 
 // ---- Who asks ----
 
 void Lease::Begin() {
   highest_seen_ = std::max(highest_seen_ + 1, static_cast<std::uint64_t>(now_ / kMillisecond));
-  ballot_ = {highest_seen_, s_.name};
+  ballot_ = {highest_seen_, settings_.name};
   promises_.clear(), free_.clear(), accepts_.clear();
   wait_hint_ = 0;
   phase_ = Phase::kPreparing;
-  phase_ends_ = now_ + s_.lease / 10;
+  phase_ends_ = now_ + settings_.lease / 10;
   ++counters_.rounds;
   TellVoters(Prepare{ballot_});
 }
@@ -150,15 +151,15 @@
   if (!m.held_by || *m.held_by == Me()) {
     free_.insert(from);
   } else {
-    wait_hint_ = std::max(wait_hint_, std::min(m.left, s_.lease));
+    wait_hint_ = std::max(wait_hint_, std::min(m.left, settings_.lease));
   }
   if (Majority(free_)) {
     phase_ = Phase::kProposing;
-    phase_ends_ = now_ + s_.lease / 10;
+    phase_ends_ = now_ + settings_.lease / 10;
     proposed_at_ = now_;  // before any voter can have begun to count
-    TellVoters(Propose{ballot_, Me(), s_.lease});
-  } else if (promises_.size() == s_.voters.size() || (wait_hint_ > 0 && Majority(promises_))) {
-    Retreat(wait_hint_ + Drawn(0, s_.lease / 20));
+    TellVoters(Propose{ballot_, Me(), settings_.lease});
+  } else if (promises_.size() == settings_.voters.size() || (wait_hint_ > 0 && Majority(promises_))) {
+    Retreat(wait_hint_ + Drawn(0, settings_.lease / 20));
   }
 }
 
@@ -169,9 +170,9 @@
   if (!Majority(accepts_))
     return;
   phase_ = Phase::kIdle;
-  const Micros until =
-      proposed_at_ + static_cast<Micros>(static_cast<double>(s_.lease) * (1.0 - 2.0 * s_.most_drift));
-  next_try_ = proposed_at_ + s_.lease / 3;  // to renew
+  const Micros until = proposed_at_ + static_cast<Micros>(static_cast<double>(settings_.lease) *
+                                                          (1.0 - 2.0 * settings_.most_drift));
+  next_try_ = proposed_at_ + settings_.lease / 3;  // to renew
   if (until <= now_)
     return;                           // the word came too late
 #ifdef ALDERSILL_PLANT_ENDLESS_LEASE  // planted where a search must find it
@@ -193,7 +194,7 @@
   if (phase_ == Phase::kIdle || m.ballot != ballot_)
     return;
   ++counters_.rejected;
-  Retreat(Drawn(s_.lease / 20, s_.lease / 5));
+  Retreat(Drawn(settings_.lease / 20, settings_.lease / 5));
 }
 
 void Lease::Retreat(Micros wait) {
@@ -202,15 +203,15 @@
 }
 
 void Lease::Tell(const std::string& to, LeaseMessage message) {
-  if (to == s_.name) {
-    to_self_.push_back(LeaseHeard{s_.name, std::move(message)});
+  if (to == settings_.name) {
+    to_self_.push_back(LeaseHeard{settings_.name, std::move(message)});
   } else {
     effects_->push_back(SendTo{to, std::move(message)});
   }
 }
 
 void Lease::TellVoters(const LeaseMessage& message) {
-  for (const std::string& voter : s_.voters)
+  for (const std::string& voter : settings_.voters)
     Tell(voter, message);
 }
 
--- a/src/duties/lease.h
+++ b/src/duties/lease.h
@@ -79,7 +79,7 @@
   std::optional<std::uint64_t> Holds(Micros now) const;
   // Who holds as far as this voter has been told; nobody if that has ended.
   std::optional<Holder> Believed(Micros now) const;
-  const LeaseSettings& settings() const { return s_; }
+  const LeaseSettings& settings() const { return settings_; }
   const LeaseCounters& counters() const { return counters_; }
 
  private:
@@ -104,12 +104,14 @@
   void TellVoters(const LeaseMessage& message);
   void CheckHeld();
   void CheckRound();
-  bool Majority(const std::set<std::string>& names) const { return 2 * names.size() > s_.voters.size(); }
+  bool Majority(const std::set<std::string>& names) const {
+    return 2 * names.size() > settings_.voters.size();
+  }
   bool IsVoter(const std::string& name) const;
-  Holder Me() const { return {s_.name, s_.epoch}; }
+  Holder Me() const { return {settings_.name, settings_.epoch}; }
   Micros Drawn(Micros least, Micros most);
 
-  const LeaseSettings s_;
+  const LeaseSettings settings_;
   pcg32 random_;
   Micros now_ = 0;
   std::vector<LeaseEffect>* effects_ = nullptr;
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 ProbeSharing::ProbeSharing(ProbeSettings settings, std::uint64_t seed)
-    : s_(std::move(settings)), random_(seed) {}
+    : settings_(std::move(settings)), random_(seed) {}
 
 void ProbeSharing::Handle(Micros now, ProbeEvent event, std::vector<ProbeEffect>* effects) {
   now_ = std::max(now_, now);
@@ -27,7 +27,7 @@
 
 Micros ProbeSharing::next_due() const {
   Micros due = kNever;
-  if (!due_.empty() && std::ssize(out_) < s_.most_out)
+  if (!due_.empty() && std::ssize(out_) < settings_.most_out)
     due = due_.begin()->first;
   // Numbers and overdue times grow together.
   if (!out_.empty())
@@ -75,7 +75,7 @@
   if (found == workers_.end())
     return;
   Worker& worker = found->second;
-  const bool mine = owner == s_.name;
+  const bool mine = owner == settings_.name;
   if (mine == worker.mine)
     return;
   worker.mine = mine;
@@ -87,9 +87,9 @@
   if (worker.out)
     return;
   // On with the rhythm of the one before; what is behind already, soon.
-  const Micros usual = worker.last ? TimeOf(worker.last->stamp) + s_.interval : now_;
-  const Micros soon = now_ + Within(by_departure ? s_.interval / kSpreadOver : s_.interval);
-  Schedule(name, &worker, std::clamp(usual, soon, now_ + s_.interval));
+  const Micros usual = worker.last ? TimeOf(worker.last->stamp) + settings_.interval : now_;
+  const Micros soon = now_ + Within(by_departure ? settings_.interval / kSpreadOver : settings_.interval);
+  Schedule(name, &worker, std::clamp(usual, soon, now_ + settings_.interval));
 }
 
 void ProbeSharing::Schedule(const std::string& name, Worker* worker, Micros at) {
@@ -103,21 +103,22 @@
   while (!out_.empty() && out_.begin()->second.overdue_at <= now_) {
     ++counters_.overdue;
     const std::uint64_t number = out_.begin()->first;
-    On(ProbeEnded{number, Outcome::kTimeout, s_.timeout, {}});
+    On(ProbeEnded{number, Outcome::kTimeout, settings_.timeout, {}});
   }
 }
 
 void ProbeSharing::Launch() {
-  while (!due_.empty() && due_.begin()->first <= now_ && std::ssize(out_) < s_.most_out) {
+  while (!due_.empty() && due_.begin()->first <= now_ && std::ssize(out_) < settings_.most_out) {
     const auto [at, name] = *due_.begin();
     due_.erase(due_.begin());
     Worker& worker = workers_.at(name);
     const std::uint64_t number = next_number_++;
     worker.out = number;
     // The next one keeps the rhythm, unless this one is so late that it would follow at once.
-    worker.due =
-        now_ - at < s_.interval / 2 ? at + s_.interval : now_ + s_.interval / 2 + Within(s_.interval / 2);
-    out_.emplace(number, Out{name, now_ + 2 * s_.timeout});
+    worker.due = now_ - at < settings_.interval / 2
+                     ? at + settings_.interval
+                     : now_ + settings_.interval / 2 + Within(settings_.interval / 2);
+    out_.emplace(number, Out{name, now_ + 2 * settings_.timeout});
     ++counters_.started;
     effects_->push_back(StartProbe{number, name, worker.address});
   }
@@ -128,7 +129,7 @@
   if (found == out_.end())
     return;
   const std::string name = found->second.worker;
-  const bool slept = now_ > found->second.overdue_at + s_.timeout;
+  const bool slept = now_ > found->second.overdue_at + settings_.timeout;
   out_.erase(found);
   ++counters_.ended;
   const auto known = workers_.find(name);
@@ -145,7 +146,7 @@
     ++counters_.slept_through;
     return;
   }
-  ProbeResult result{name, NextStamp(), s_.name, e.outcome, e.elapsed, e.report};
+  ProbeResult result{name, NextStamp(), settings_.name, e.outcome, e.elapsed, e.report};
   worker.last = result;
   effects_->push_back(TellAll{result});
   effects_->push_back(TellModule{std::move(result)});
--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -92,8 +92,8 @@
   const std::string& OwnerOf(const std::string& worker) const { return ownership_.OwnerOf(worker); }
   std::optional<ProbeResult> LastOf(const std::string& worker) const;
   const ProbeCounters& counters() const { return counters_; }
-  const ProbeSettings& settings() const { return s_; }
-  void Adopt(ProbeSettings settings) { s_ = std::move(settings); }
+  const ProbeSettings& settings() const { return settings_; }
+  void Adopt(ProbeSettings settings) { settings_ = std::move(settings); }
 
  private:
   struct Worker {
@@ -121,7 +121,7 @@
   Stamp NextStamp();
   Micros Within(Micros span) { return random_(static_cast<std::uint32_t>(span) + 1); }
 
-  ProbeSettings s_;
+  ProbeSettings settings_;
   pcg32 random_;
   Micros now_ = 0;
   std::vector<ProbeEffect>* effects_ = nullptr;
--- a/src/faktory/codec.cpp
+++ b/src/faktory/codec.cpp
@@ -48,14 +48,14 @@
     throw BadCommand("a job must be an object");
   Job job;
   job.id = Id(json, "jid");
-  job.klass = Text(json, "jobtype", true);
-  const auto klass = classes.find(job.klass);
-  if (klass == classes.end())
-    throw BadCommand("jobtype '" + job.klass + "' is no class");
+  job.job_class = Text(json, "jobtype", true);
+  const auto job_class = classes.find(job.job_class);
+  if (job_class == classes.end())
+    throw BadCommand("jobtype '" + job.job_class + "' is no class");
   const auto args = json.find("args");
   if (args == json.end() || !args->is_array())
     throw BadCommand("args must be a list");
-  job.time_left = klass->second;
+  job.time_left = job_class->second;
   if (const auto custom = json.find("custom"); custom != json.end() && !custom->is_null()) {
     if (!custom->is_object())
       throw BadCommand("custom must be an object");
@@ -77,7 +77,7 @@
   }
   job.guard_repeats = true;  // the jid outlives this push
   job.idempotency_key = job.id;
-  job.target = "/" + job.klass;
+  job.target = "/" + job.job_class;
   job.content_type = "application/json";
   job.body = json.dump(-1, ' ', false, Json::error_handler_t::replace);
   return job;
@@ -149,7 +149,7 @@
   if (job.guard_repeats) {
     json = Json::parse(job.body, nullptr, false);
   } else {
-    json = {{"jid", job.id}, {"jobtype", job.klass}, {"args", {job.body}}, {"custom", Json::object()}};
+    json = {{"jid", job.id}, {"jobtype", job.job_class}, {"args", {job.body}}, {"custom", Json::object()}};
     json["custom"]["target"] = job.target;
     if (!job.tenant.empty())
       json["custom"]["tenant"] = job.tenant;
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -208,13 +208,13 @@
   }
 
   void Push(const std::string& argument) {
-    Job job = DecodePush(argument, front_->s_.classes);
+    Job job = DecodePush(argument, front_->settings_.classes);
     state_ = State::kPushing;
     front_->Take(this, std::move(job));
   }
 
   void PushBulk(const std::string& argument) {
-    std::vector<Pushed> jobs = DecodePushBulk(argument, front_->s_.classes);
+    std::vector<Pushed> jobs = DecodePushBulk(argument, front_->settings_.classes);
     state_ = State::kBulk;
     bulk_errors_.clear();
     bulk_jids_.clear();
@@ -237,7 +237,7 @@
   void Fetch() {
     NeedWorker();
     state_ = State::kFetching;
-    timer_.Set(front_->s_.fetch_wait);
+    timer_.Set(front_->settings_.fetch_wait);
     front_->Park(this);
   }
 
@@ -256,10 +256,12 @@
 };
 
 Front::Front(event_base* base, FrontSettings settings, EventSink* sink)
-    : base_(base), s_(std::move(settings)), sink_(sink), began_(SteadyNow()), drain_timer_(base, [this] {
-        CloseIdle();
-      }) {
-  listener_ = Open(s_.listen);
+    : base_(base),
+      settings_(std::move(settings)),
+      sink_(sink),
+      began_(SteadyNow()),
+      drain_timer_(base, [this] { CloseIdle(); }) {
+  listener_ = Open(settings_.listen);
 }
 Front::~Front() = default;
 
@@ -268,7 +270,7 @@
 }
 
 void Front::Adopt(FrontSettings settings, EventPtr<evconnlistener> listener) {
-  s_ = std::move(settings);
+  settings_ = std::move(settings);
   if (listener == nullptr)
     return;
   if (listener_ == nullptr) {
@@ -282,7 +284,7 @@
 
 void Front::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
   auto* front = static_cast<Front*>(arg);
-  if (front->sessions_.size() >= static_cast<std::size_t>(front->s_.most_connections)) {
+  if (front->sessions_.size() >= static_cast<std::size_t>(front->settings_.most_connections)) {
     Log(LogLevel::kWarning, "faktory_sessions_full", {{"sessions", front->sessions_.size()}});
     evutil_closesocket(fd);
     return;
@@ -358,14 +360,14 @@
       Lose(name);
     });
   }
-  w.silence->Set(s_.silence);
+  w.silence->Set(settings_.silence);
   if (w.sessions++ > 0)
     return;
   w.instance.state = w.quiet ? Instance::State::kDraining : Instance::State::kReady;
   TellState(w);
 }
 
-void Front::Heard(const std::string& wid) { workers_.at(wid).silence->Set(s_.silence); }
+void Front::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
 
 void Front::TellState(const Worker& worker) {
   sink_->Tell(NameTableNews{NameTableNews::Form::kChanges, Instance::Source::kSession, {worker.instance}});
@@ -491,7 +493,7 @@
       lost.push_back(held.execution);
   }
   if (w.sessions == 0) {
-    w.silence->Set(s_.return_within);
+    w.silence->Set(settings_.return_within);
     w.instance.state = Instance::State::kDraining;
     TellState(w);
   }
--- a/src/faktory/front.h
+++ b/src/faktory/front.h
@@ -87,7 +87,7 @@
   void CloseIdle();
 
   event_base* base_;
-  FrontSettings s_;
+  FrontSettings settings_;
   EventSink* sink_;
   EventPtr<evconnlistener> listener_;
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
--- a/src/http/client_front.cpp
+++ b/src/http/client_front.cpp
@@ -280,7 +280,7 @@
   bool Count(std::size_t bytes) {
     front_->unfinished_bytes_ += bytes - counted_;
     counted_ = bytes;
-    return bytes <= kSmall || front_->unfinished_bytes_ <= front_->s_.most_bytes;
+    return bytes <= kSmall || front_->unfinished_bytes_ <= front_->settings_.most_bytes;
   }
 
   void Take() {
@@ -303,7 +303,7 @@
     }
     Job job;
     try {
-      job = DecodeJob(std::move(request), front_->s_.keyed);
+      job = DecodeJob(std::move(request), front_->settings_.keyed);
     } catch (const BadMessage& e) {
       front_->TurnedAway(400, e.what(), id);
       return Write(400, std::string(e.what()) + "\n");
@@ -409,7 +409,7 @@
 ClientFront::ClientFront(event_base* base, const Endpoint& listen, ClientFrontSettings settings,
                          EventSink* sink, std::function<bool()> ready)
     : base_(base),
-      s_(std::move(settings)),
+      settings_(std::move(settings)),
       sink_(sink),
       ready_(std::move(ready)),
       listener_(Open(listen)),
@@ -421,13 +421,13 @@
 
 EventPtr<evconnlistener> ClientFront::Open(const Endpoint& listen) {
   EventPtr<evconnlistener> listener =
-      BindOn(base_, listen, "listen", s_.shares_endpoint, &ClientFront::OnAccept, this);
+      BindOn(base_, listen, "listen", settings_.shares_endpoint, &ClientFront::OnAccept, this);
   evconnlistener_set_error_cb(listener.get(), &ClientFront::OnAcceptFailed);
   return listener;
 }
 
 void ClientFront::Adopt(ClientFrontSettings settings, EventPtr<evconnlistener> listener) {
-  s_ = std::move(settings);
+  settings_ = std::move(settings);
   if (listener != nullptr) {
     listener_ = std::move(listener);
     if (listens_)
@@ -486,7 +486,7 @@
 void ClientFront::MindTheDoor() {
   if (!listens_)
     return;
-  if (connections_.size() < s_.most_connections || MakeRoom()) {
+  if (connections_.size() < settings_.most_connections || MakeRoom()) {
     evconnlistener_enable(listener_.get());
     return;
   }
@@ -606,7 +606,7 @@
 }
 
 Micros ClientFront::AnswerBy() const {
-  return drain_began_ + kKillAfter + std::min(s_.longest_deadline, kKillCounts) - kKillMargin;
+  return drain_began_ + kKillAfter + std::min(settings_.longest_deadline, kKillCounts) - kKillMargin;
 }
 
 std::optional<Micros> ClientFront::LeftWhileDraining() const {
--- a/src/http/client_front.h
+++ b/src/http/client_front.h
@@ -90,7 +90,7 @@
   std::optional<Micros> LeftWhileDraining() const;
 
   event_base* base_;
-  ClientFrontSettings s_;
+  ClientFrontSettings settings_;
   EventSink* sink_;
   std::function<bool()> ready_;
   EventPtr<evconnlistener> listener_;
--- a/src/http/codec.cpp
+++ b/src/http/codec.cpp
@@ -80,7 +80,7 @@
 Job DecodeJob(HttpRequest request, const std::unordered_map<std::string, bool>& keyed) {
   Job job;
   job.id = Header(request, "req-id");
-  job.klass = Header(request, "req-kind");
+  job.job_class = Header(request, "req-kind");
   job.tenant = Header(request, "req-owner");
   job.idempotency_key = Header(request, "idempotency-key");
   job.content_type = Header(request, "content-type");
@@ -94,17 +94,17 @@
     throw BadRequest(400, "the path is not plain text");
   const std::string path = job.target.substr(0, job.target.find_first_of("?#"));
   const std::string first = path.substr(1, path.find('/', 1) - 1);
-  if (job.klass.empty())
-    job.klass = first;
-  const auto klass = keyed.find(job.klass);
-  if (klass == keyed.end())
+  if (job.job_class.empty())
+    job.job_class = first;
+  const auto job_class = keyed.find(job.job_class);
+  if (job_class == keyed.end())
     throw BadRequest(400, "Req-Kind names no class");
-  if (first != job.klass)
+  if (first != job.job_class)
     throw BadRequest(400, "Req-Kind is not the path's first part");
-  if (klass->second && job.idempotency_key.empty())
+  if (job_class->second && job.idempotency_key.empty())
     throw BadRequest(400, "Idempotency-Key is missing");
   job.time_left = DecodeDeadline(Header(request, "req-deadline"));
-  job.subject = DecodeSubject(path, job.klass);
+  job.subject = DecodeSubject(path, job.job_class);
   DecodeExtras(Header(request, "req-extra"), &job);
   // A guess at the work, as bare microseconds: of use where it can be read, no reason to turn a job away.
   if (const auto cost = Figure<std::int64_t>(Header(request, "req-cost"));
@@ -176,11 +176,11 @@
   }
 }
 
-std::optional<std::uint64_t> DecodeSubject(std::string_view path, std::string_view klass) {
+std::optional<std::uint64_t> DecodeSubject(std::string_view path, std::string_view job_class) {
   path = path.substr(0, path.find('?'));
   const std::size_t slash = path.rfind('/');
   const std::string_view last = slash == std::string_view::npos ? path : path.substr(slash + 1);
-  if (last.empty() || last == klass)
+  if (last.empty() || last == job_class)
     return std::nullopt;
   constexpr std::uint64_t kBelow = (1ULL << 53) - 1;
   std::uint64_t number = 0;
--- a/src/http/codec.h
+++ b/src/http/codec.h
@@ -54,7 +54,7 @@
 // Req-Extra, "name=value,name=value"; names unknown to us are left alone.
 void DecodeExtras(std::string_view text, Job* job);
 // What a path's last part tells: hex digits as the number they write, anything else hashed, below 2^53.
-std::optional<std::uint64_t> DecodeSubject(std::string_view path, std::string_view klass);
+std::optional<std::uint64_t> DecodeSubject(std::string_view path, std::string_view job_class);
 
 }  // namespace aldersill
 
--- a/src/http/instance_link.cpp
+++ b/src/http/instance_link.cpp
@@ -32,7 +32,7 @@
 
 std::string Encode(const Job& job, const std::string& address, Micros time_left) {
   std::string text = job.method + " " + job.target + " HTTP/1.1\r\n" + HeaderLine("Host", address) +
-                     HeaderLine("Req-Id", job.id) + HeaderLine("Req-Kind", job.klass) +
+                     HeaderLine("Req-Id", job.id) + HeaderLine("Req-Kind", job.job_class) +
                      HeaderLine("Req-Deadline", EncodeDeadline(time_left)) + "Connection: close\r\n";
   if (!job.tenant.empty())
     text += HeaderLine("Req-Owner", job.tenant);
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -23,7 +23,7 @@
     Log(LogLevel::kDebug, "request_taken",
         {{"client", e.client.number},
          {"id", e.job.id},
-         {"class", e.job.klass},
+         {"class", e.job.job_class},
          {"tenant", e.job.tenant},
          {"retry", e.job.is_retry},
          {"left_ms", e.job.time_left / kMillisecond}});
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -38,7 +38,10 @@
 }  // namespace
 
 Membership::Membership(Settings settings, std::uint64_t seed)
-    : s_(std::move(settings)), random_(seed), updates_(s_.most_members), rumors_(s_.most_rumors) {}
+    : settings_(std::move(settings)),
+      random_(seed),
+      updates_(settings_.most_members),
+      rumors_(settings_.most_rumors) {}
 
 void Membership::Handle(Micros now, Event event, std::vector<Effect>* effects) {
   now_ = std::max(now_, now);
@@ -60,19 +63,21 @@
 }
 
 Update Membership::self() const {
-  return {s_.name, s_.address, incarnation_, leaving_ ? State::kLeft : State::kAlive, s_.weight, ""};
+  return {settings_.name,   settings_.address,
+          incarnation_,     leaving_ ? State::kLeft : State::kAlive,
+          settings_.weight, ""};
 }
 
 std::map<std::string, Update> Membership::View() const {
   std::map<std::string, Update> view;
   for (const auto& [name, entry] : others_)
     view.emplace(name, entry.said);
-  view.emplace(s_.name, self());
+  view.emplace(settings_.name, self());
   return view;
 }
 
 std::optional<State> Membership::StateOf(const std::string& name) const {
-  if (name == s_.name)
+  if (name == settings_.name)
     return leaving_ ? State::kLeft : State::kAlive;
   const auto found = others_.find(name);
   return found == others_.end() ? std::nullopt : std::optional(found->second.said.state);
@@ -85,8 +90,8 @@
   incarnation_ = {e.epoch, 0};
   // Spread over the interval, so that instances started together do not speak together.
   const auto within = [this](Micros interval) { return 1 + random_(static_cast<std::uint32_t>(interval)); };
-  next_probe_ = now_ + within(s_.probe_interval);
-  next_gossip_ = now_ + within(s_.gossip_interval);
+  next_probe_ = now_ + within(settings_.probe_interval);
+  next_gossip_ = now_ + within(settings_.gossip_interval);
   next_compare_ = now_;
   next_forget_ = now_ + kForgetEvery;
   PassOn(self());
@@ -94,7 +99,7 @@
 
 void Membership::On(PacketCame&& e) {
   const Packet& p = e.packet;
-  if (!started_ || p.from == s_.name)
+  if (!started_ || p.from == settings_.name)
     return;  // our own, come back, or a namesake's: either tells nothing
   for (const Update& update : p.updates)
     Hear(update);
@@ -103,7 +108,7 @@
     effects_->push_back(RumorHeard{p.from, rumor});
   // One that is taken for dead, or that speaks from a life we have not heard of, is told so at once.
   const auto sender = others_.find(p.from);
-  if (sender == others_.end() || now_ - sender->second.since < s_.gossip_interval)
+  if (sender == others_.end() || now_ - sender->second.since < settings_.gossip_interval)
     return;
   Entry& entry = sender->second;
   if (entry.said.state == State::kDead && entry.said.incarnation.epoch <= p.epoch) {
@@ -116,7 +121,7 @@
   if (!started_)
     return;
   // What was due long ago means that this instance itself stood still: others are not to suffer for it.
-  if (const Micros late = now_ - next_due(); late > s_.probe_interval)
+  if (const Micros late = now_ - next_due(); late > settings_.probe_interval)
     StretchFor(late);
   while (next_due() <= now_) {
     if (probe_ && !probe_->answered && !probe_->asked_others && probe_->others_at <= now_)
@@ -146,7 +151,7 @@
 
 void Membership::On(SpreadAsked&& e) {
   const std::size_t size = SizeOf(e.rumor);
-  if (size + 128 > s_.datagram)
+  if (size + 128 > settings_.datagram)
     return;  // could never go out
   const std::string key = e.rumor.key;
   rumors_.Put(key, std::move(e.rumor), size);
@@ -164,7 +169,7 @@
     return;
   probe_.reset();
   Update gone = self();
-  gone.accuser = s_.name;
+  gone.accuser = settings_.name;
   PassOn(gone);
   for (const std::string& name : Some(8, ""))
     Send(others_.at(name).said.address, Gossip{});
@@ -173,7 +178,7 @@
 // ---- Messages ----
 
 void Membership::On(const std::string& address, const Packet&, const Ping& m) {
-  if (m.target != s_.name || leaving_)
+  if (m.target != settings_.name || leaving_)
     return;
   if (m.epoch == incarnation_.epoch)
     return Send(address, Ack{m.number});
@@ -182,10 +187,10 @@
 }
 
 void Membership::On(const std::string& address, const Packet&, const PingFor& m) {
-  if (m.target == s_.name || relays_.size() >= kMostRelays)
+  if (m.target == settings_.name || relays_.size() >= kMostRelays)
     return;
   const std::uint32_t number = next_number_++;
-  relays_[number] = Relay{address, m.number, now_ + s_.probe_timeout * 4 / 5};
+  relays_[number] = Relay{address, m.number, now_ + settings_.probe_timeout * 4 / 5};
   Send(m.address, Ping{number, m.target, m.epoch}, m.target);
 }
 
@@ -231,14 +236,14 @@
 // ---- What is said of members ----
 
 void Membership::Hear(const Update& said) {
-  if (said.name == s_.name)
+  if (said.name == settings_.name)
     return HearOfSelf(said);
   const auto found = others_.find(said.name);
   if (found == others_.end()) {
     // One that was never known and is gone needs no place.
     if (!Lives(said.state))
       return;
-    if (others_.size() + 1 >= s_.most_members && !ForgetOneDead()) {
+    if (others_.size() + 1 >= settings_.most_members && !ForgetOneDead()) {
       ++counters_.members_refused;
       return;
     }
@@ -287,7 +292,7 @@
 void Membership::HearOfSelf(const Update& said) {
   if (leaving_)
     return;
-  if (said.address != s_.address && said.incarnation >= incarnation_)
+  if (said.address != settings_.address && said.incarnation >= incarnation_)
     ++counters_.name_conflicts;
   if (said.incarnation.epoch > incarnation_.epoch) {
     // An earlier life whose clock was ahead (or a namesake): this one must still go before it.
@@ -322,7 +327,8 @@
     suspect.state = State::kSuspect;
     suspect.accuser = said.accuser;
     Become(entry, suspect, MemberNews::What::kSuspect);
-  } else if (entry->accusers.contains(said.accuser) || std::ssize(entry->accusers) > s_.confirmations) {
+  } else if (entry->accusers.contains(said.accuser) ||
+             std::ssize(entry->accusers) > settings_.confirmations) {
     return;  // nothing new
   } else {
     // Lifeguard: confirmations are passed on as well, as they shorten the others' wait.
@@ -340,15 +346,15 @@
 Micros Membership::SuspicionEnds(const Entry& entry) const {
   const double members = static_cast<double>(living_);
   // Long enough for the accusation to reach the accused and its word to come back, whatever the size.
-  const double rounds = std::ceil(std::log(members) / std::log(s_.gossip_fanout + 1.0)) + 1.0;
-  const Micros least = std::max<Micros>(s_.suspicion_rounds * s_.probe_interval,
-                                        static_cast<Micros>(3.0 * rounds) * s_.gossip_interval);
+  const double rounds = std::ceil(std::log(members) / std::log(settings_.gossip_fanout + 1.0)) + 1.0;
+  const Micros least = std::max<Micros>(settings_.suspicion_rounds * settings_.probe_interval,
+                                        static_cast<Micros>(3.0 * rounds) * settings_.gossip_interval);
   // Who has nobody to confirm it cannot wait for that.
-  const int wanted = static_cast<int>(living_) - 2 < s_.confirmations ? 0 : s_.confirmations;
+  const int wanted = static_cast<int>(living_) - 2 < settings_.confirmations ? 0 : settings_.confirmations;
   if (wanted == 0)
     return entry.suspected + least;
   const double others = static_cast<double>(entry.accusers.size()) - 1.0;
-  const double most = static_cast<double>(least) * s_.suspicion_most;
+  const double most = static_cast<double>(least) * settings_.suspicion_most;
   const double share = std::log(others + 1.0) / std::log(wanted + 1.0);
   return entry.suspected +
          std::max(least, static_cast<Micros>(most - (most - static_cast<double>(least)) * share));
@@ -373,7 +379,7 @@
 void Membership::DeclareDead(const std::string& name) {
   Update dead = others_.at(name).said;
   dead.state = State::kDead;
-  dead.accuser = s_.name;
+  dead.accuser = settings_.name;
   ++counters_.deaths;
   Hear(dead);
 }
@@ -381,7 +387,7 @@
 // ---- Probes ----
 
 void Membership::BeginProbe() {
-  const Micros period = Stretched(s_.probe_interval);
+  const Micros period = Stretched(settings_.probe_interval);
   next_probe_ = now_ + period;
   if (leaving_)
     return;
@@ -390,7 +396,8 @@
     return;
   const Update& said = others_.at(*target).said;
   ++counters_.probes;
-  probe_ = Probe{*target, next_number_++, 0, false, false, now_ + Stretched(s_.probe_timeout), next_probe_};
+  probe_ =
+      Probe{*target, next_number_++, 0, false, false, now_ + Stretched(settings_.probe_timeout), next_probe_};
   Send(said.address, Ping{probe_->number, *target, said.incarnation.epoch}, *target);
 }
 
@@ -400,7 +407,7 @@
   if (target == others_.end())
     return;
   const Update said = target->second.said;
-  for (const std::string& name : Some(static_cast<std::size_t>(s_.indirect_probes), probe_->target)) {
+  for (const std::string& name : Some(static_cast<std::size_t>(settings_.indirect_probes), probe_->target)) {
     ++probe_->nacks_owed;
     ++counters_.indirect_probes;
     Send(others_.at(name).said.address,
@@ -422,7 +429,7 @@
     return;
   Update accused = target->second.said;
   accused.state = State::kSuspect;
-  accused.accuser = s_.name;
+  accused.accuser = settings_.name;
   Hear(accused);
 }
 
@@ -448,15 +455,15 @@
 // ---- Gossip ----
 
 void Membership::SendGossip() {
-  next_gossip_ = now_ + s_.gossip_interval;
+  next_gossip_ = now_ + settings_.gossip_interval;
   if (updates_.size() == 0 && rumors_.size() == 0)
     return;
-  for (const std::string& name : Some(static_cast<std::size_t>(s_.gossip_fanout), "", true)) {
+  for (const std::string& name : Some(static_cast<std::size_t>(settings_.gossip_fanout), "", true)) {
     if (updates_.size() == 0 && rumors_.size() == 0)
       return;
     Send(others_.at(name).said.address, Gossip{}, name);
   }
-  for (int more = 0; more < s_.gossip_burst && rumors_.size() > 0; ++more) {
+  for (int more = 0; more < settings_.gossip_burst && rumors_.size() > 0; ++more) {
     for (const std::string& name : Some(1, ""))
       Send(others_.at(name).said.address, Gossip{}, name);
   }
@@ -465,7 +472,7 @@
 void Membership::SendCompare() {
   const bool alone = living_ <= 1;
   // Spread by a quarter, so that instances started together do not compare together for ever.
-  const Micros interval = alone ? s_.probe_interval : s_.compare_interval;
+  const Micros interval = alone ? settings_.probe_interval : settings_.compare_interval;
   next_compare_ = now_ + interval - interval / 8 + random_(static_cast<std::uint32_t>(interval / 4 + 1));
   if (leaving_)
     return;
@@ -474,14 +481,14 @@
     Send(others_.at(name).said.address, Compare{digest});
   // One that was lost: after a split nothing else brings the halves together.
   std::vector<std::string> lost;
-  std::set<std::string> met{s_.address};
+  std::set<std::string> met{settings_.address};
   for (const auto& [name, entry] : others_) {
     if (Lives(entry.said.state))
       met.insert(entry.said.address);
     if (entry.said.state == State::kDead)
       lost.push_back(entry.said.address);
   }
-  for (const std::string& address : s_.join) {
+  for (const std::string& address : settings_.join) {
     if (!met.contains(address))
       lost.push_back(address);
   }
@@ -506,7 +513,7 @@
     if (entry.said.state == State::kLeft)
       continue;
     const std::size_t more = SizeOf(entry.said);
-    if (size + more + 200 > s_.datagram) {
+    if (size + more + 200 > settings_.datagram) {
       Send(address, Table{std::exchange(part, {}), false});
       size = 0;
     }
@@ -517,7 +524,7 @@
 }
 
 void Membership::Send(const std::string& address, Message message, const std::string& to_name) {
-  Packet packet{s_.name, incarnation_.epoch, std::move(message), {}, {}};
+  Packet packet{settings_.name, incarnation_.epoch, std::move(message), {}, {}};
   std::size_t used = SizeOfPacket(packet);
   // Lifeguard's buddy system: a suspect hears of it from whoever speaks to it.
   if (const auto to = others_.find(to_name);
@@ -525,11 +532,11 @@
     used += SizeOf(to->second.said);
     packet.updates.push_back(to->second.said);
   }
-  if (used < s_.datagram) {
-    const std::size_t left = updates_.Take(s_.datagram - used, Times(), &packet.updates);
+  if (used < settings_.datagram) {
+    const std::size_t left = updates_.Take(settings_.datagram - used, Times(), &packet.updates);
     // Probes stay short: rumors go with gossip alone.
     if (std::holds_alternative<Gossip>(packet.message))
-      rumors_.Take(left, s_.rumor_times, &packet.rumors);
+      rumors_.Take(left, settings_.rumor_times, &packet.rumors);
   }
   effects_->push_back(SendPacket{address, std::move(packet)});
 }
@@ -573,7 +580,7 @@
       return false;
     // One that left is remembered just as long as its old words may still go round.
     const Micros kept =
-        entry.said.state == State::kLeft ? std::min(s_.dead_kept, 60 * kSecond) : s_.dead_kept;
+        entry.said.state == State::kLeft ? std::min(settings_.dead_kept, 60 * kSecond) : settings_.dead_kept;
     return now_ - entry.since >= kept;
   });
 }
@@ -606,14 +613,15 @@
   }
   suspicions_ = std::move(later);
   for (Micros* at : {&next_probe_, &next_gossip_, &next_compare_, &next_forget_})
-    *at = std::max(*at, now_ + s_.gossip_interval);
+    *at = std::max(*at, now_ + settings_.gossip_interval);
 }
 
-void Membership::Worse(int by) { health_ = std::min(s_.health_most, health_ + by); }
+void Membership::Worse(int by) { health_ = std::min(settings_.health_most, health_ + by); }
 void Membership::Better() { health_ = std::max(0, health_ - 1); }
 
 int Membership::Times() const {
-  return s_.retransmissions * static_cast<int>(std::ceil(std::log10(static_cast<double>(living_) + 1.0)));
+  return settings_.retransmissions *
+         static_cast<int>(std::ceil(std::log10(static_cast<double>(living_) + 1.0)));
 }
 
 std::uint64_t Membership::Digest() const {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -80,7 +80,7 @@
   // When TimeCame is next due.
   Micros next_due() const;
 
-  const Settings& settings() const { return s_; }
+  const Settings& settings() const { return settings_; }
   const Counters& counters() const { return counters_; }
   Update self() const;
   // All that are remembered, this instance included, by name.
@@ -156,7 +156,7 @@
   std::uint64_t Digest() const;
   Micros Stretched(Micros time) const { return time * (health_ + 1); }
 
-  const Settings s_;
+  const Settings settings_;
   pcg32 random_;
   Micros now_ = 0;
   std::vector<Effect>* effects_ = nullptr;
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -118,8 +118,8 @@
   c.name = line.Text(at + "name");
   c.target = line.IntOr(at + "target", c.target);
   c.deadline = line.IntOr(at + "deadline", c.deadline);
-  c.worth = line.NumberOr(at + "worth", c.worth);
-  c.late_worth = line.NumberOr(at + "lateValue", c.late_worth);
+  c.priority_weight = line.NumberOr(at + "worth", c.priority_weight);
+  c.late_priority_weight = line.NumberOr(at + "lateValue", c.late_priority_weight);
   c.window = line.IntOr(at + "dedupWindow", c.window);
   c.streaming = line.BoolOr(at + "streaming", c.streaming);
   const std::string_view repeat = line.TextOr(at + "repeat", "fragile");
@@ -165,7 +165,7 @@
   void operator()(const Cancel& a) {
     Begin("stop_attempt");
     Field("req", static_cast<std::uint64_t>(a.request));
-    Field("shot", a.attempt);
+    Field("shot", a.attempt_number);
   }
   void operator()(const Refuse& a) {
     Begin("shed");
@@ -305,10 +305,10 @@
   s.zones = SplitList(line.TextOr("zones", ""));
   s.zone = line.TextOr("locality", "");
   s.nodes = static_cast<int>(line.IntOr("peersTotal", s.nodes));
-  s.over_share_worth = line.NumberOr("overShareWorth", s.over_share_worth);
-  s.worth_by_work = line.TextOr("valueBy", "request") == "work";
+  s.over_share_priority_weight = line.NumberOr("overShareWorth", s.over_share_priority_weight);
+  s.priority_weight_by_work = line.TextOr("valueBy", "request") == "work";
   s.subscribe = line.TextOr("discovery", "automatic") == "subscribe";
-  s.tells_start = line.BoolOr("familyInfo.tellsStart", s.tells_start);
+  s.reports_start = line.BoolOr("familyInfo.tellsStart", s.reports_start);
   s.progress = line.IntOr("familyInfo.progress", s.progress);
   const std::string_view reports = line.TextOr("report.how", "silent");
   if (reports == "piggyback")
@@ -375,7 +375,7 @@
 Arrival ParseArrival(const Line& line) {
   Arrival arrival;
   arrival.request = ParseRequest(line);
-  arrival.klass = line.Text("class");
+  arrival.job_class = line.Text("class");
   arrival.tenant = line.TextOr("userGroup", "");
   if (line.Has("partitionKey"))
     arrival.key = static_cast<std::uint64_t>(line.Int("partitionKey"));
--- a/src/upgrade/job_codec.cpp
+++ b/src/upgrade/job_codec.cpp
@@ -35,7 +35,7 @@
   const Job& job = t.job;
   Json json = {{"format", kFormat},
                {"id", job.id},
-               {"class", job.klass},
+               {"class", job.job_class},
                {"tenant", job.tenant},
                {"key", job.idempotency_key},
                {"method", job.method},
@@ -66,7 +66,7 @@
     TransferredJob t;
     Job& job = t.job;
     job.id = json.at("id").get<std::string>();
-    job.klass = json.at("class").get<std::string>();
+    job.job_class = json.at("class").get<std::string>();
     job.tenant = json.at("tenant").get<std::string>();
     job.idempotency_key = json.at("key").get<std::string>();
     job.method = json.at("method").get<std::string>();
--- a/tools/fleet_table/main.cpp
+++ b/tools/fleet_table/main.cpp
@@ -100,7 +100,7 @@
   fmt::print("{} requests have no answer:\n", table.lost.size());
   for (std::size_t i = 0; i < std::min(most, table.lost.size()); ++i) {
     const auto& lost = table.lost[i];
-    fmt::print("  {:.3f} {} {} {} {}\n", lost.taken, lost.node, lost.id, lost.klass, lost.station);
+    fmt::print("  {:.3f} {} {} {} {}\n", lost.taken, lost.node, lost.id, lost.job_class, lost.station);
   }
   return 0;
 }
--- a/tools/fleet_table/totals.cpp
+++ b/tools/fleet_table/totals.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Row* Totals::RowAt(double at) {
-  const auto span = static_cast<std::int64_t>(std::floor(at / s_.every));
+  const auto span = static_cast<std::int64_t>(std::floor(at / settings_.every));
   if (const auto found = table_.rows.find(span); found != table_.rows.end())
     return &found->second;
   if (table_.rows.size() < kMostRows)
@@ -72,7 +72,7 @@
   Row* row = RowAt(line.at);
   const std::string instance(line.Text("instance")), id(line.Text("id"));
   node->executions[std::string(line.Text("execution"))] = {
-      id, static_cast<std::int64_t>(std::floor(line.at / s_.every)), instance};
+      id, static_cast<std::int64_t>(std::floor(line.at / settings_.every)), instance};
   if (node->listed >= 0.0) {
     row->list_age_sum += line.at - node->listed;
     row->list_age_most = std::max(row->list_age_most, line.at - node->listed);
@@ -91,7 +91,7 @@
   const auto found = node->executions.find(std::string(line.Text("execution")));
   if (found == node->executions.end())
     return;  // the first end stands
-  ++RowAt(found->second.row * s_.every)->attempts[outcome];
+  ++RowAt(found->second.row * settings_.every)->attempts[outcome];
   const auto client = node->client_of.find(found->second.request);
   if (client != node->client_of.end())
     node->by_client.at(client->second).at.clear();
@@ -111,10 +111,10 @@
 
 void Totals::CloseAll(const std::string& name, Node* node, bool restarted) {
   for (const auto& [number, execution] : node->executions)
-    ++RowAt(execution.row * s_.every)->attempts["open"];
+    ++RowAt(execution.row * settings_.every)->attempts["open"];
   for (const auto& [client, r] : node->by_client) {
     std::string station = !r.at.empty() ? "at " + r.at : r.sent > 0 ? "between attempts" : "unsent";
-    table_.lost.push_back({name, r.id, r.klass, r.taken, station + (restarted ? "; restarted" : "")});
+    table_.lost.push_back({name, r.id, r.job_class, r.taken, station + (restarted ? "; restarted" : "")});
   }
   node->executions.clear();
   node->by_client.clear();
@@ -123,13 +123,13 @@
 
 void Totals::CountCold() {
   for (auto& [start, sends] : sends_after_start_) {
-    const double warm = start.second + clock_offset_ + s_.warm_after;
+    const double warm = start.second + clock_offset_ + settings_.warm_after;
     std::sort(sends.begin(), sends.end());
     ColdWorker worker{start.first, 0, 0};
     for (std::size_t first = 0, last = 0; last < sends.size() && sends[last] < warm; ++last) {
       ++worker.sends;
       ++RowAt(sends[last])->cold_sends;
-      while (sends[last] - sends[first] >= s_.fall)
+      while (sends[last] - sends[first] >= settings_.fall)
         ++first;
       worker.most_in_window = std::max(worker.most_in_window, static_cast<int>(last - first) + 1);
     }
--- a/tools/fleet_table/totals.h
+++ b/tools/fleet_table/totals.h
@@ -39,7 +39,7 @@
 };
 
 struct Lost {
-  std::string node, id, klass;
+  std::string node, id, job_class;
   double taken = 0.0;
   std::string station;  // "at s-1", "unsent", "between attempts", each with "; restarted" where the node did
 };
@@ -56,7 +56,7 @@
 
 class Totals {
  public:
-  explicit Totals(Settings settings) : s_(settings) {}
+  explicit Totals(Settings settings) : settings_(settings) {}
 
   // Lines of one dispatcher in the order written; dispatchers in any order.
   void Add(const std::string& node, std::string_view line);
@@ -69,7 +69,7 @@
     std::string instance;
   };
   struct Request {
-    std::string id, klass;
+    std::string id, job_class;
     double taken = 0.0;
     int sent = 0;
     std::string at;  // the worker of its open attempt
@@ -90,7 +90,7 @@
   void CloseAll(const std::string& name, Node* node, bool restarted);
   void CountCold();
 
-  const Settings s_;
+  const Settings settings_;
   Row beyond_;  // takes what falls beyond the rows kept
   Table table_;
   std::map<std::string, Node> nodes_;
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -148,12 +148,12 @@
   return message;
 }
 
-HttpMessage Post(Wire* wire, const std::string& klass, const std::string& id, const std::string& tenant,
+HttpMessage Post(Wire* wire, const std::string& job_class, const std::string& id, const std::string& tenant,
                  int deadline_ms, const std::string& body) {
-  wire->Write("POST /" + klass + " HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + klass +
-              "\r\nReq-Owner: " + tenant + "\r\nReq-Deadline: " + std::to_string(deadline_ms) +
-              "m\r\nIdempotency-Key: " + id + "\r\nContent-Length: " + std::to_string(body.size()) +
-              "\r\n\r\n" + body);
+  wire->Write("POST /" + job_class + " HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: " + id +
+              "\r\nReq-Kind: " + job_class + "\r\nReq-Owner: " + tenant +
+              "\r\nReq-Deadline: " + std::to_string(deadline_ms) + "m\r\nIdempotency-Key: " + id +
+              "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   return ReadHttp(wire);
 }
 
--- a/tools/standins.h
+++ b/tools/standins.h
@@ -35,7 +35,7 @@
 
 // What becomes of a job that a worker stand-in was given.
 enum class Fate { kDone, kFail, kDrop };
-using RunJob = std::function<Fate(const std::string& id, const std::string& klass)>;
+using RunJob = std::function<Fate(const std::string& id, const std::string& job_class)>;
 
 class FaktorySession {
  public:
@@ -73,7 +73,7 @@
 HttpMessage ReadHttp(Wire* wire);
 
 // A service client's request and the answer to it.
-HttpMessage Post(Wire* wire, const std::string& klass, const std::string& id, const std::string& tenant,
+HttpMessage Post(Wire* wire, const std::string& job_class, const std::string& id, const std::string& tenant,
                  int deadline_ms, const std::string& body);
 
 // Listens and serves each connection with a thread of its own.
