--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -22,7 +22,7 @@
     AddCounter("busy." + c.name, c.nacked, &text);
     AddCounter("failure." + c.name, c.failed, &text);
   }
-  AddCounter("backend_calls", counters.executions_handed_over, &text);
+  AddCounter("backend_calls", counters.attempts_sent, &text);
   AddGauge("inflight", counters.waiting_clients, &text);
   AddGauge("hosts_listed", counters.ready_instances + counters.draining_instances, &text);
   AddGauge("hosts_down", avoided_workers, &text);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -17,16 +17,16 @@
 };
 
 struct Counters {
-  std::vector<ClassCounters> classes;         // in the settings' order
-  std::array<std::uint64_t, 8> executions{};  // ended, by dispatch::Outcome
-  std::uint64_t executions_started = 0;
-  std::uint64_t executions_handed_over = 0;  // written whole to their instance
+  std::vector<ClassCounters> classes;       // in the settings' order
+  std::array<std::uint64_t, 8> attempts{};  // ended, by dispatch::Outcome
+  std::uint64_t attempts_started = 0;
+  std::uint64_t attempts_sent = 0;  // written whole to their instance
   std::uint64_t repeats_barred = 0;
   // Answered by a front itself, as no job could be read off them. By status, the ones that a front gives.
   std::map<int, std::uint64_t> turned_away{{400, 0}, {405, 0}, {408, 0}, {413, 0}, {431, 0}, {503, 0}};
   std::uint64_t reconfigurations = 0, reconfigurations_refused = 0;
   std::uint64_t name_table_news = 0, name_table_failures = 0;
-  std::uint64_t open_requests = 0, open_executions = 0;       // gauges
+  std::uint64_t open_requests = 0, open_attempts = 0;         // gauges
   std::uint64_t waiting_clients = 0;                          // gauge: owed an answer
   std::uint64_t ready_instances = 0, draining_instances = 0;  // gauges
 };
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -43,8 +43,8 @@
   now_ = std::max(now_, now);
   effects_ = effects;
   // What has gone out comes first: withdrawn as one that never ran it could go out again.
-  if (const auto* out = std::get_if<ExecutionHandedOver>(&event))
-    On(ExecutionHandedOver(*out));
+  if (const auto* out = std::get_if<AttemptSent>(&event))
+    On(AttemptSent(*out));
   // Then, before all else: a timer that comes late must not let one more execution go.
   if (now_ >= good_until_)
     Distrust();
@@ -66,7 +66,7 @@
                 [this](const auto& m) { return m.second.open == 0 && m.first != modules_.rbegin()->first; });
   counters_.open_requests = requests_.size();
   counters_.waiting_clients = by_client_.size();
-  counters_.open_executions = executions_.size();
+  counters_.open_attempts = attempts_.size();
 }
 
 // ---- Events ----
@@ -122,13 +122,13 @@
     JobInHand in_hand{client, r.job, r.deadline - now_, r.first_run != 0 || r.may_have_run, {}, ""};
     if (r.open == 1) {
       const auto running =
-          std::ranges::find_if(r.executions, [this](ExecutionNo x) { return executions_.contains(x); });
-      const Execution& x = executions_.at(*running);
-      if (!x.handed_over || x.source != Instance::Source::kDiscovery)
+          std::ranges::find_if(r.attempts, [this](AttemptId x) { return attempts_.contains(x); });
+      const Attempt& x = attempts_.at(*running);
+      if (!x.sent || x.source != Instance::Source::kDiscovery)
         continue;
       in_hand.running = *running;
       in_hand.worker = x.instance;
-    } else if (!r.executions.empty()) {
+    } else if (!r.attempts.empty()) {
       continue;  // what its attempts came to is this process's to weigh
     }
     jobs.push_back(std::move(in_hand));
@@ -145,15 +145,14 @@
   Request& r = requests_.at(number);
   r.answered = true;
   TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
-  for (const ExecutionNo x : r.executions) {
-    if (executions_.erase(x) == 0)
+  for (const AttemptId x : r.attempts) {
+    if (attempts_.erase(x) == 0)
       continue;
     Ask(ClearTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(x)}});
     --r.open;
     TellModuleOf(
-        r,
-        dispatch::AttemptEnded{
-            ModuleId(number), static_cast<int>(r.executions.size()) - 1, Outcome::kCancelled, true, 0, {}});
+        r, dispatch::AttemptEnded{
+               ModuleId(number), static_cast<int>(r.attempts.size()) - 1, Outcome::kCancelled, true, 0, {}});
   }
   ForgetIfDone(number);
 }
@@ -163,7 +162,7 @@
   if (job_class == class_of_.end())
     return Ask(Answer{e.client, Failure{}});
   const std::uint64_t number = next_request_++;
-  const ExecutionNo execution{next_execution_++};
+  const AttemptId attempt{next_attempt_++};
   Request& r = requests_[number];
   r.client = e.client;
   r.counter = job_class->second.counter;
@@ -172,19 +171,19 @@
   r.taken = now_;
   r.deadline = now_ + std::max<Micros>(1, e.job.time_left);
   r.job = std::make_shared<const Job>(std::move(e.job));
-  r.executions = {execution};
+  r.attempts = {attempt};
   r.open = 1;
   by_client_[r.client] = number;
   ++counters_.classes[r.counter].taken;
-  executions_[execution] = {.request = number,
-                            .instance = std::move(e.worker),
-                            .sent = now_,
-                            .start_by = now_,
-                            .give_up_at = r.deadline,
-                            .handed_over = true,
-                            .handed_at = now_};
-  Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(execution)}, r.deadline - now_});
-  Ask(ResumeExecution{execution, r.job, e.resume});
+  attempts_[attempt] = {.request = number,
+                        .instance = std::move(e.worker),
+                        .started_at = now_,
+                        .start_by = now_,
+                        .give_up_at = r.deadline,
+                        .sent = true,
+                        .sent_at = now_};
+  Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(attempt)}, r.deadline - now_});
+  Ask(ResumeAttempt{attempt, r.job, e.resume});
 }
 
 void Reducer::FinishAdopted(std::uint64_t number, Outcome outcome) {
@@ -216,51 +215,51 @@
   TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
   // As a module would have it: what is called off is of use to nobody.
   if (r.module == kNoModule && settings_.module.cancel)
-    return End(r.executions.front(), Outcome::kCancelled, "", {}, true);
+    return End(r.attempts.front(), Outcome::kCancelled, "", {}, true);
   ForgetIfDone(number);
 }
 
 // A connection may come up long after its execution was decided on, and the timers that bound its wait may
 // ring late: what was judged then is judged again, by the time it is now.
-void Reducer::On(ExecutionConnected&& e) {
-  const auto found = executions_.find(e.execution);
-  if (found == executions_.end() || found->second.handed_over)
+void Reducer::On(AttemptConnected&& e) {
+  const auto found = attempts_.find(e.attempt);
+  if (found == attempts_.end() || found->second.sent)
     return;
-  const Execution& x = found->second;
+  const Attempt& x = found->second;
   if (!MayStillGo(x) || requests_.at(x.request).answered || now_ >= x.start_by)
-    return End(e.execution, Outcome::kNotSent, "", {}, true);
-  Ask(HandOverExecution{e.execution, x.source, x.give_up_at - now_});
+    return End(e.attempt, Outcome::kNotSent, "", {}, true);
+  Ask(SendAttempt{e.attempt, x.source, x.give_up_at - now_});
 }
 
-void Reducer::On(ExecutionHandedOver&& e) {
-  const auto found = executions_.find(e.execution);
-  if (found == executions_.end() || found->second.handed_over)
+void Reducer::On(AttemptSent&& e) {
+  const auto found = attempts_.find(e.attempt);
+  if (found == attempts_.end() || found->second.sent)
     return;
-  found->second.handed_over = true;
-  ++counters_.executions_handed_over;
-  found->second.handed_at = now_;
-  Ask(ClearTimer{{TimerKey::Wait::kHandover, static_cast<std::uint64_t>(e.execution)}});
+  found->second.sent = true;
+  ++counters_.attempts_sent;
+  found->second.sent_at = now_;
+  Ask(ClearTimer{{TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(e.attempt)}});
 }
 
-void Reducer::On(ExecutionProgress&& e) {
-  const auto found = executions_.find(e.execution);
-  if (found == executions_.end())
+void Reducer::On(AttemptProgress&& e) {
+  const auto found = attempts_.find(e.attempt);
+  if (found == attempts_.end())
     return;
   TellModuleOf(
       requests_.at(found->second.request),
       dispatch::Progress{ModuleId(found->second.request), found->second.attempt_number, e.started, e.share});
 }
 
-void Reducer::On(ExecutionEnded&& e) {
-  End(e.execution, e.outcome, std::move(e.result), e.report, /*stop=*/false);
+void Reducer::On(AttemptEnded&& e) {
+  End(e.attempt, e.outcome, std::move(e.result), e.report, /*stop=*/false);
 }
 
-void Reducer::On(ExecutionReleased&& e) {
-  const auto found = still_out_.find(e.execution);
-  if (found == still_out_.end())
+void Reducer::On(AbandonedAttemptEnded&& e) {
+  const auto found = abandoned_attempts_.find(e.attempt);
+  if (found == abandoned_attempts_.end())
     return;
   repeats_.Released(found->second);
-  still_out_.erase(found);
+  abandoned_attempts_.erase(found);
 }
 
 void Reducer::On(TimerDue&& e) {
@@ -272,15 +271,15 @@
   }
   if (e.key.wait == TimerKey::Wait::kModule)
     return TellModule(e.key.module, dispatch::TimerFired{e.key.id});
-  const ExecutionNo number{e.key.id};
-  const auto found = executions_.find(number);
-  if (found == executions_.end())
+  const AttemptId number{e.key.id};
+  const auto found = attempts_.find(number);
+  if (found == attempts_.end())
     return;
   if (e.key.wait == TimerKey::Wait::kGiveUp) {
     // Not handed over by then: it cannot have run, and must not once we stop it.
-    return End(number, found->second.handed_over ? Outcome::kTimeout : Outcome::kConnectFailed, "", {}, true);
+    return End(number, found->second.sent ? Outcome::kTimeout : Outcome::kConnectFailed, "", {}, true);
   }
-  if (found->second.handed_over)
+  if (found->second.sent)
     return;
   // Cut short by the window of an earlier attempt: that tells nothing of the instance.
   if (found->second.start_by < found->second.give_up_at && now_ >= found->second.start_by)
@@ -336,8 +335,8 @@
 }
 
 void Reducer::WithdrawLate() {
-  std::vector<ExecutionNo> late;
-  for (const auto& [number, x] : executions_) {
+  std::vector<AttemptId> late;
+  for (const auto& [number, x] : attempts_) {
     if (!MayStillGo(x))
       late.push_back(number);
   }
@@ -371,8 +370,8 @@
   Ask(LogLine{"worker list: too old to go by, no job is sent until discovery answers"});
   // A delta would tell the module that it is subscribed.
   TellModules(WholeList(WorkerList::Form::kCached));
-  std::vector<ExecutionNo> late;
-  for (const auto& [number, x] : executions_) {
+  std::vector<AttemptId> late;
+  for (const auto& [number, x] : attempts_) {
     if (x.source == Instance::Source::kDiscovery)
       late.push_back(number);
   }
@@ -415,9 +414,9 @@
   if (found == requests_.end())
     return;
   Request& r = found->second;
-  const ExecutionNo number{next_execution_++};
-  const int attempt_number = static_cast<int>(r.executions.size());
-  r.executions.push_back(number);
+  const AttemptId number{next_attempt_++};
+  const int attempt_number = static_cast<int>(r.attempts.size());
+  r.attempts.push_back(number);
   const auto known = name_table_.find(a.worker);
   const bool listed = known != name_table_.end() && MayGetNew(known->second);
   if (now_ >= r.start_by)
@@ -428,31 +427,31 @@
     return ForgetIfDone(request);
   }
   ++r.open;
-  ++counters_.executions_started;
+  ++counters_.attempts_started;
   const Instance& to = known->second;
   const Micros until = a.give_up_at > 0 ? std::min(a.give_up_at, r.deadline) : r.deadline;
   const Micros start_by = std::min(a.start_by > 0 ? std::min(a.start_by, until) : until, r.start_by);
-  executions_[number] =
-      Execution{request, attempt_number, a.worker, to.source, to.started, now_, start_by, until, false, 0};
+  attempts_[number] =
+      Attempt{request, attempt_number, a.worker, to.source, to.started, now_, start_by, until, false, 0};
   const bool fetches = to.source == Instance::Source::kSession;
   Ask(SetTimer{
-      {TimerKey::Wait::kHandover, static_cast<std::uint64_t>(number)},
+      {TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(number)},
       std::clamp<Micros>(start_by - now_, 1, fetches ? settings_.fetch_patience : settings_.dial_timeout)});
   Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(number)},
                std::max<Micros>(1, until - now_)});
-  Ask(StartExecution{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
+  Ask(StartAttempt{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
 }
 
 void Reducer::Do(const dispatch::Cancel& a) {
   const auto found = requests_.find(static_cast<std::uint64_t>(a.request));
   if (found == requests_.end() || a.attempt_number < 0 ||
-      a.attempt_number >= std::ssize(found->second.executions))
+      a.attempt_number >= std::ssize(found->second.attempts))
     return;
-  const ExecutionNo number = found->second.executions[a.attempt_number];
-  const auto x = executions_.find(number);
-  if (x == executions_.end())
+  const AttemptId number = found->second.attempts[a.attempt_number];
+  const auto x = attempts_.find(number);
+  if (x == attempts_.end())
     return;
-  End(number, x->second.handed_over ? Outcome::kCancelled : Outcome::kNotSent, "", {}, true);
+  End(number, x->second.sent ? Outcome::kCancelled : Outcome::kNotSent, "", {}, true);
 }
 
 void Reducer::Do(const dispatch::Refuse& a) {
@@ -460,7 +459,7 @@
   const Micros wait = a.retry_after > 0 ? a.retry_after : settings_.module.max_retry_after;
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(number);
-  const bool tried = found != requests_.end() && !found->second.executions.empty();
+  const bool tried = found != requests_.end() && !found->second.attempts.empty();
   Finish(number, Nack{tried                            ? Nack::Why::kAfterAttempts
                       : counters_.ready_instances == 0 ? Nack::Why::kNoInstance
                                                        : Nack::Why::kNothingSent,
@@ -517,40 +516,40 @@
   }));
 }
 
-bool Reducer::MayStillGo(const Execution& x) const {
+bool Reducer::MayStillGo(const Attempt& x) const {
   const auto known = name_table_.find(x.instance);
   return known != name_table_.end() && MayGetNew(known->second) &&
          known->second.started <= x.instance_started;
 }
 
-void Reducer::End(ExecutionNo number, Outcome outcome, std::string result, LoadReport report, bool stop) {
-  const auto found = executions_.find(number);
-  if (found == executions_.end())
+void Reducer::End(AttemptId number, Outcome outcome, std::string result, LoadReport report, bool stop) {
+  const auto found = attempts_.find(number);
+  if (found == attempts_.end())
     return;                            // ended already: the first outcome stands
 #ifdef ALDERSILL_PLANT_LOST_NEVER_RAN  // planted where a search must find it
   if (outcome == Outcome::kLost)
     outcome = Outcome::kConnectFailed;
 #endif
-  const Execution x = std::move(found->second);
-  executions_.erase(found);
-  ++counters_.executions[static_cast<std::size_t>(outcome)];
+  const Attempt x = std::move(found->second);
+  attempts_.erase(found);
+  ++counters_.attempts[static_cast<std::size_t>(outcome)];
   const std::uint64_t id = static_cast<std::uint64_t>(number);
-  if (!x.handed_over)
-    Ask(ClearTimer{{TimerKey::Wait::kHandover, id}});
+  if (!x.sent)
+    Ask(ClearTimer{{TimerKey::Wait::kSendDeadline, id}});
   Ask(ClearTimer{{TimerKey::Wait::kGiveUp, id}});
 #ifndef ALDERSILL_PLANT_NEVER_STOPS  // planted where a search must find it
   if (stop)
-    Ask(StopExecution{number, x.source});
+    Ask(StopAttempt{number, x.source});
 #endif
   Request& r = requests_.at(x.request);
   // A connection to an instance can be closed; a session that has fetched goes on with it.
-  if (stop && x.handed_over && x.source == Instance::Source::kSession && r.job->guard_repeats) {
-    repeats_.StaysOut(r.job->id);
-    still_out_.emplace(number, r.job->id);
+  if (stop && x.sent && x.source == Instance::Source::kSession && r.job->guard_repeats) {
+    repeats_.MarkAbandoned(r.job->id);
+    abandoned_attempts_.emplace(number, r.job->id);
   }
   --r.open;
   if (MayHaveRun(outcome) && r.first_run == 0)
-    r.first_run = x.handed_over ? x.handed_at : now_;
+    r.first_run = x.sent ? x.sent_at : now_;
   if (outcome == Outcome::kServed && !r.answered) {
     counters_.classes[r.counter].served_ms += static_cast<std::uint64_t>((now_ - r.taken) / kMillisecond);
     Finish(x.request, Served{std::move(result)});
@@ -558,14 +557,14 @@
   if (r.module == kNoModule && !r.answered)
     FinishAdopted(x.request, outcome);
   TellModuleOf(r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt_number, outcome, r.answered,
-                                         now_ - x.sent, report});
+                                         now_ - x.started_at, report});
   ForgetIfDone(x.request);
 }
 
-void Reducer::Withdraw(const std::vector<ExecutionNo>& executions) {
-  for (const ExecutionNo number : executions) {
-    const auto found = executions_.find(number);
-    if (found != executions_.end() && !found->second.handed_over)
+void Reducer::Withdraw(const std::vector<AttemptId>& attempts) {
+  for (const AttemptId number : attempts) {
+    const auto found = attempts_.find(number);
+    if (found != attempts_.end() && !found->second.sent)
       End(number, Outcome::kNotSent, "", {}, true);
   }
 }
@@ -587,7 +586,7 @@
   auto found = requests_.find(number);
   if (found == requests_.end() || !found->second.answered)
     return;
-  Withdraw(std::vector<ExecutionNo>(found->second.executions));  // nobody waits for them any more
+  Withdraw(std::vector<AttemptId>(found->second.attempts));  // nobody waits for them any more
   found = requests_.find(number);
   if (found == requests_.end() || found->second.open > 0)
     return;
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -27,7 +27,7 @@
   void Reduce(Micros now, Event event, std::vector<Effect>* effects);
 
   const Counters& counters() const { return counters_; }
-  bool Quiet() const { return requests_.empty() && executions_.empty(); }
+  bool Quiet() const { return requests_.empty() && attempts_.empty(); }
   const std::map<std::string, Instance>& name_table() const { return name_table_; }
   // Whether the worker has been known since the start, or is banned.
   bool EverListed(const std::string& worker) const {
@@ -56,20 +56,20 @@
     Micros start_by = 0;   // of a repeat: the window of the run before, known by the job's own id
     Micros first_run = 0;  // hand-over of the first execution that may have run
     bool answered = false;
-    std::vector<ExecutionNo> executions;  // by attempt number
+    std::vector<AttemptId> attempts;  // by attempt number
     int open = 0;
   };
-  struct Execution {
+  struct Attempt {
     std::uint64_t request = 0;
     int attempt_number = 0;
     std::string instance;
     Instance::Source source = Instance::Source::kDiscovery;
     Micros instance_started = 0;  // as told when it was sent
-    Micros sent = 0;
+    Micros started_at = 0;
     Micros start_by = 0;  // no byte goes out from then on
     Micros give_up_at = 0;
-    bool handed_over = false;
-    Micros handed_at = 0;
+    bool sent = false;
+    Micros sent_at = 0;
   };
 
   void On(RequestTaken&& e);
@@ -77,11 +77,11 @@
   void On(JobHandedAway&& e);
   void On(JobAdopted&& e);
   void On(ClientLeft&& e);
-  void On(ExecutionConnected&& e);
-  void On(ExecutionHandedOver&& e);
-  void On(ExecutionProgress&& e);
-  void On(ExecutionEnded&& e);
-  void On(ExecutionReleased&& e);
+  void On(AttemptConnected&& e);
+  void On(AttemptSent&& e);
+  void On(AttemptProgress&& e);
+  void On(AttemptEnded&& e);
+  void On(AbandonedAttemptEnded&& e);
   void On(TimerDue&& e);
   void On(NameTableNews&& e);
   void On(NameTableFailed&& e);
@@ -128,11 +128,11 @@
   bool MayGetNew(const Instance& i) const;
   // Whether an execution that is not handed over may still go to its instance. Not to one that has been
   // started anew meanwhile: it is cold, and what cold ones may get is the module's to say.
-  bool MayStillGo(const Execution& x) const;
-  void End(ExecutionNo number, Outcome outcome, std::string result, LoadReport report, bool stop);
+  bool MayStillGo(const Attempt& x) const;
+  void End(AttemptId number, Outcome outcome, std::string result, LoadReport report, bool stop);
   void Finish(std::uint64_t number, FinalAnswer answer);
   // Ends what has not been handed over, whether or not cancels are allowed: it never ran, and must not now.
-  void Withdraw(const std::vector<ExecutionNo>& executions);
+  void Withdraw(const std::vector<AttemptId>& attempts);
   // Of a request that is answered or whose client has left: only what was handed over goes on.
   void ForgetIfDone(std::uint64_t number);
   dispatch::WorkerList WholeList(dispatch::WorkerList::Form form) const;
@@ -151,12 +151,12 @@
   std::deque<std::pair<std::uint64_t, dispatch::Event>> for_module_;
   std::vector<dispatch::Action> actions_;
   std::uint64_t next_request_ = 1;
-  std::uint64_t next_execution_ = 1;
+  std::uint64_t next_attempt_ = 1;
   std::unordered_map<std::uint64_t, Request> requests_;
   std::map<ClientRef, std::uint64_t> by_client_;  // those still owed an answer
-  std::map<ExecutionNo, Execution> executions_;
+  std::map<AttemptId, Attempt> attempts_;
   // Given up on, yet out at instances that cannot be told to stop, with the ids of their jobs.
-  std::map<ExecutionNo, std::string> still_out_;
+  std::map<AttemptId, std::string> abandoned_attempts_;
   std::map<std::string, Instance> name_table_;
   std::set<std::string> ever_listed_;  // kMostEverListed at most
   std::set<std::string> banned_;
--- a/src/core/repeat_guard.h
+++ b/src/core/repeat_guard.h
@@ -32,7 +32,7 @@
         job_class.repeat == dispatch::Repeat::kKeyed && now - e.first_run < job_class.window;
     if (e.first_run != 0 && job_class.repeat != dispatch::Repeat::kRepeatable && !in_window)
       return Verdict::kNever;
-    return e.still_out > 0 ? Verdict::kNotNow : Verdict::kAdmit;
+    return e.abandoned_attempts > 0 ? Verdict::kNotNow : Verdict::kAdmit;
   }
   // Until when one that may be taken now may begin to run: what is taken may wait.
   Micros MayStartUntil(const std::string& id, const dispatch::ClassSettings& job_class) const {
@@ -48,11 +48,11 @@
     e.in_progress = true;
   }
   // An execution was given up on, but nothing can stop it; and it has ended after all.
-  void StaysOut(const std::string& id) { ++jobs_[id].still_out; }
+  void MarkAbandoned(const std::string& id) { ++jobs_[id].abandoned_attempts; }
   void Released(const std::string& id) {
     const auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.still_out > 0)
-      --found->second.still_out;
+    if (found != jobs_.end() && found->second.abandoned_attempts > 0)
+      --found->second.abandoned_attempts;
   }
   // `first_run`: when the first execution that may have run was handed over; 0 if none was.
   void End(const std::string& id, Micros first_run) {
@@ -78,7 +78,7 @@
  private:
   struct Entry {
     bool in_progress = false;
-    int still_out = 0;
+    int abandoned_attempts = 0;
     Micros first_run = 0;
   };
   std::size_t most_;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -28,7 +28,7 @@
   auto operator<=>(const ClientRef&) const = default;
 };
 
-enum class ExecutionNo : std::uint64_t {};  // one attempt, over the life of the process
+enum class AttemptId : std::uint64_t {};  // one attempt, over the life of the process
 
 // What a service client asked for, decoded once by its front and encoded once by the link that runs it.
 struct Job {
@@ -105,7 +105,7 @@
   ClientRef client;
 };
 // A job that another process of this dispatcher had in hand, with an attempt that its worker has whole. It is
-// carried on by ResumeExecution under the same number.
+// carried on by ResumeAttempt under the same number.
 struct JobAdopted {
   ClientRef client;
   Job job;
@@ -116,29 +116,29 @@
 struct ClientLeft {
   ClientRef client;
 };
-struct ExecutionConnected {  // the instance can be written to, and nothing has been
-  ExecutionNo execution{};
+struct AttemptConnected {  // the instance can be written to, and nothing has been
+  AttemptId attempt{};
 };
-struct ExecutionHandedOver {  // the instance has the whole request: it may run from here on
-  ExecutionNo execution{};
+struct AttemptSent {  // the instance has the whole request: it may run from here on
+  AttemptId attempt{};
 };
-struct ExecutionProgress {
-  ExecutionNo execution{};
+struct AttemptProgress {
+  AttemptId attempt{};
   bool started = false;
   double share = 0.0;
 };
-struct ExecutionEnded {
-  ExecutionNo execution{};
+struct AttemptEnded {
+  AttemptId attempt{};
   Outcome outcome = Outcome::kServed;
   std::string result;
   LoadReport report;
 };
-struct ExecutionReleased {  // one that was given up on has ended after all, at an instance that cannot be
-                            // told to stop
-  ExecutionNo execution{};
+struct AbandonedAttemptEnded {  // one that was given up on has ended after all, at an instance that cannot be
+                                // told to stop
+  AttemptId attempt{};
 };
 struct TimerKey {
-  enum class Wait { kModule, kHandover, kGiveUp, kNameTable } wait = Wait::kModule;
+  enum class Wait { kModule, kSendDeadline, kGiveUp, kNameTable } wait = Wait::kModule;
   std::uint64_t id = 0;
   std::uint64_t module = 0;  // kModule: which one, in the order of their settings
   auto operator<=>(const TimerKey&) const = default;
@@ -166,14 +166,14 @@
   LoadReport report;
 };
 using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestTurnedAway, ClientLeft,
-                           ExecutionConnected, ExecutionHandedOver, ExecutionProgress, ExecutionEnded,
-                           ExecutionReleased, TimerDue, NameTableNews, NameTableFailed, NameTableGood,
+                           AttemptConnected, AttemptSent, AttemptProgress, AttemptEnded,
+                           AbandonedAttemptEnded, TimerDue, NameTableNews, NameTableFailed, NameTableGood,
                            ProbeAnswered, SettingsChanged, SettingsRefused, WorkerBanned>;
 
 // ---- Effects ----
 
-struct StartExecution {
-  ExecutionNo execution{};
+struct StartAttempt {
+  AttemptId attempt{};
   std::string instance;
   std::string address;
   Instance::Source source = Instance::Source::kDiscovery;
@@ -181,18 +181,18 @@
   Micros time_left = 0;
   ClientRef client{};  // whom it is for
 };
-struct ResumeExecution {  // of JobAdopted
-  ExecutionNo execution{};
+struct ResumeAttempt {  // of JobAdopted
+  AttemptId attempt{};
   std::shared_ptr<const Job> job;
   std::uint64_t resume = 0;
 };
-struct HandOverExecution {  // one that has connected: its first byte may go out now, and at no later time
-  ExecutionNo execution{};
+struct SendAttempt {  // one that has connected: its first byte may go out now, and at no later time
+  AttemptId attempt{};
   Instance::Source source = Instance::Source::kDiscovery;
   Micros time_left = 0;
 };
-struct StopExecution {
-  ExecutionNo execution{};
+struct StopAttempt {
+  AttemptId attempt{};
   Instance::Source source = Instance::Source::kDiscovery;
 };
 struct Served {
@@ -226,17 +226,17 @@
 struct LogLine {
   std::string text;
 };
-using Effect = std::variant<StartExecution, ResumeExecution, HandOverExecution, StopExecution, Answer,
-                            SetTimer, ClearTimer, ProbeInstance, WatchNameTable, LogLine>;
+using Effect = std::variant<StartAttempt, ResumeAttempt, SendAttempt, StopAttempt, Answer, SetTimer,
+                            ClearTimer, ProbeInstance, WatchNameTable, LogLine>;
 
 // A job as it could be handed to another process of this dispatcher.
 struct JobInHand {
   ClientRef client;
   std::shared_ptr<const Job> job;
   Micros time_left = 0;
-  bool may_have_run = false;           // before the attempt that runs now
-  std::optional<ExecutionNo> running;  // nothing where it has not been tried
-  std::string worker;                  // that runs it
+  bool may_have_run = false;         // before the attempt that runs now
+  std::optional<AttemptId> running;  // nothing where it has not been tried
+  std::string worker;                // that runs it
 };
 
 // Takes events in; handed to every front and link, so that none of them knows the reducer or another.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -102,28 +102,28 @@
   reducing_ = false;
 }
 
-void Daemon::Do(const StartExecution& e) {
+void Daemon::Do(const StartAttempt& e) {
   // A client's end may have come with its request, or in the same moment as the news that made this attempt:
   // then it lies unread, and the attempt would begin for nobody.
   const auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)];
   if (door != nullptr && door->HasLeft(e.client.number)) {
     Tell(ClientLeft{e.client});
-    return Tell(ExecutionEnded{e.execution, Outcome::kNotSent, "", {}});
+    return Tell(AttemptEnded{e.attempt, Outcome::kNotSent, "", {}});
   }
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
+  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
     runner->Start(e);
 }
-void Daemon::Do(const ResumeExecution& e) {
+void Daemon::Do(const ResumeAttempt& e) {
   if (offers_.resume)
     offers_.resume(e);
 }
-void Daemon::Do(const HandOverExecution& e) {
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
-    runner->HandOver(e);
+void Daemon::Do(const SendAttempt& e) {
+  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
+    runner->Send(e);
 }
-void Daemon::Do(const StopExecution& e) {
-  if (auto* runner = offers_.runners[static_cast<std::size_t>(e.source)])
-    runner->Stop(e.execution);
+void Daemon::Do(const StopAttempt& e) {
+  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
+    runner->Stop(e.attempt);
 }
 void Daemon::Do(const Answer& e) {
   if (auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)])
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -25,10 +25,10 @@
   void Tell(Event event) override;
 
  private:
-  void Do(const StartExecution& e);
-  void Do(const ResumeExecution& e);
-  void Do(const HandOverExecution& e);
-  void Do(const StopExecution& e);
+  void Do(const StartAttempt& e);
+  void Do(const ResumeAttempt& e);
+  void Do(const SendAttempt& e);
+  void Do(const StopAttempt& e);
   void Do(const Answer& e);
   void Do(const SetTimer& e);
   void Do(const ClearTimer& e);
--- a/src/daemon/faktory_part.cpp
+++ b/src/daemon/faktory_part.cpp
@@ -20,7 +20,7 @@
   return s;
 }
 
-class FaktoryPart : public Part, public ExecutionRunner, public ClientDoor {
+class FaktoryPart : public Part, public AttemptTransport, public ClientDoor {
  public:
   explicit FaktoryPart(const Surroundings& around) : around_(around) {}
 
@@ -38,8 +38,8 @@
         {{"name", "faktory"}, {"address", held_.listen.host + ":" + std::to_string(front_->port())}});
   }
 
-  void Start(const StartExecution& e) override { front_->Start(e); }
-  void Stop(ExecutionNo execution) override { front_->Stop(execution); }
+  void Start(const StartAttempt& e) override { front_->Start(e); }
+  void Stop(AttemptId attempt) override { front_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { front_->Reply(client, answer); }
 
   void Prepare(const Config& next) override {
@@ -80,7 +80,7 @@
     return std::make_unique<faktory::Front>(around_.base, ForFaktory(c), around_.sink);
   }
   void Offer() {
-    around_.offers->runners[static_cast<std::size_t>(Instance::Source::kSession)] = this;
+    around_.offers->attempt_transports[static_cast<std::size_t>(Instance::Source::kSession)] = this;
     around_.offers->doors[static_cast<std::size_t>(ClientRef::Front::kFaktory)] = this;
   }
 
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -88,12 +88,12 @@
     close(left.mapped().worker_fd);
 }
 
-void JobTransfer::Resume(const ResumeExecution& resume) {
+void JobTransfer::Resume(const ResumeAttempt& resume) {
   auto arrived = arrived_.extract(resume.resume);
   if (arrived.empty())
     return;
   Arrived& a = arrived.mapped();
-  workers_->Resume(resume.execution, resume.job,
+  workers_->Resume(resume.attempt, resume.job,
                    {a.worker_fd, std::move(a.running.address), std::move(a.running.received)});
 }
 
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -27,7 +27,7 @@
   // Hands over what can go, now and from time to time until this process ends.
   void SendTo(const std::string& path);
   // Carries on with an attempt that was handed to this process.
-  void Resume(const ResumeExecution& resume);
+  void Resume(const ResumeAttempt& resume);
 
  private:
   struct Arrived {
--- a/src/daemon/part.h
+++ b/src/daemon/part.h
@@ -21,12 +21,12 @@
 
 namespace aldersill {
 
-class ExecutionRunner {
+class AttemptTransport {
  public:
-  virtual ~ExecutionRunner() = default;
-  virtual void Start(const StartExecution& start) = 0;
-  virtual void HandOver(const HandOverExecution&) {}  // asked for only of who tells ExecutionConnected
-  virtual void Stop(ExecutionNo execution) = 0;
+  virtual ~AttemptTransport() = default;
+  virtual void Start(const StartAttempt& start) = 0;
+  virtual void Send(const SendAttempt&) {}  // asked for only of who tells AttemptConnected
+  virtual void Stop(AttemptId attempt) = 0;
 };
 
 class ClientDoor {
@@ -39,8 +39,8 @@
 
 // Where the core's effects go, and what else a part has for others. A place that nobody has taken is empty.
 struct Offers {
-  std::array<ExecutionRunner*, 2> runners{};  // by Instance::Source
-  std::array<ClientDoor*, 2> doors{};         // by ClientRef::Front
+  std::array<AttemptTransport*, 2> attempt_transports{};  // by Instance::Source
+  std::array<ClientDoor*, 2> doors{};                     // by ClientRef::Front
   std::function<void(const ProbeInstance&)> probe;
   // The same for a part's own sake: what comes of it goes to the function alone, once.
   std::function<void(const ProbeInstance&, std::function<void(ProbeAnswered)>)> probe_for;
@@ -55,7 +55,7 @@
   // How many processes hold the dispatcher's descriptors between them from now on, this one included.
   std::function<void(int processes)> share_descriptors;
   // Carries on with an attempt that another process handed over.
-  std::function<void(const ResumeExecution&)> resume;
+  std::function<void(const ResumeAttempt&)> resume;
   // Where jobs are handed to this process, and to the newest of the others that listens; empty where there is
   // none.
   std::function<std::string()> own_job_socket, other_job_socket;
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -54,7 +54,7 @@
           CallPacing(c.module.nodes, c.module.must_ask_in / 2, c.seed)};
 }
 
-class PlatformPart : public Part, public ExecutionRunner, public ClientDoor {
+class PlatformPart : public Part, public AttemptTransport, public ClientDoor {
  public:
   explicit PlatformPart(const Surroundings& around) : around_(around) {}
 
@@ -75,7 +75,7 @@
       ApplyLimits(nullptr);
     };
     transfer_ = std::make_unique<JobTransfer>(around_, clients_.get(), instances_.get());
-    around_.offers->resume = [this](const ResumeExecution& resume) { transfer_->Resume(resume); };
+    around_.offers->resume = [this](const ResumeAttempt& resume) { transfer_->Resume(resume); };
     ReceiveJobs();
     // Beside another process nobody is served worse for waiting until this one can serve.
     if (around_.offers->other_processes().count() == 0)
@@ -85,7 +85,7 @@
     listen_ = c.listen;
     discovered_at_ = c.discovery;
     Offers& offers = *around_.offers;
-    offers.runners[static_cast<std::size_t>(Instance::Source::kDiscovery)] = this;
+    offers.attempt_transports[static_cast<std::size_t>(Instance::Source::kDiscovery)] = this;
     offers.doors[static_cast<std::size_t>(ClientRef::Front::kHttp)] = this;
     offers.watch_name_table = [this] {
       if (discovery_ != nullptr)
@@ -103,9 +103,9 @@
         {{"name", "http"}, {"address", listen_.host + ":" + std::to_string(clients_->port())}});
   }
 
-  void Start(const StartExecution& e) override { instances_->Start(e); }
-  void HandOver(const HandOverExecution& e) override { instances_->HandOver(e); }
-  void Stop(ExecutionNo execution) override { instances_->Stop(execution); }
+  void Start(const StartAttempt& e) override { instances_->Start(e); }
+  void Send(const SendAttempt& e) override { instances_->Send(e); }
+  void Stop(AttemptId attempt) override { instances_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { clients_->Reply(client, answer); }
   bool HasLeft(std::uint64_t client) const override { return clients_->HasLeft(client); }
 
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -384,10 +384,10 @@
   Worker& w = workers_.at(session->worker());
   w.fetching.push_back(session);
   if (!w.waiting.empty()) {
-    const StartExecution next = std::move(w.waiting.front());
+    const StartAttempt next = std::move(w.waiting.front());
     w.waiting.pop_front();
     w.fetching.pop_back();
-    return HandOver(&w, session, next);
+    return Deliver(&w, session, next);
   }
   if (w.instance.state == Instance::State::kReady)
     TellFree(w);
@@ -399,41 +399,41 @@
   std::erase(workers_.at(session->worker()).fetching, session);
 }
 
-void Front::Start(const StartExecution& start) {
+void Front::Start(const StartAttempt& start) {
   const auto found = workers_.find(start.instance);
   if (found == workers_.end()) {
-    sink_->Tell(ExecutionEnded{start.execution, Outcome::kConnectFailed, "", {}});
+    sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
     return;
   }
   Worker& w = found->second;
-  executions_[start.execution] = start.instance;
+  attempts_[start.attempt] = start.instance;
   if (w.fetching.empty()) {
     w.waiting.push_back(start);  // the core bounds this wait
     return;
   }
   Session* session = w.fetching.front();
   w.fetching.pop_front();
-  HandOver(&w, session, start);
+  Deliver(&w, session, start);
 }
 
-void Front::HandOver(Worker* worker, Session* session, const StartExecution& start) {
-  worker->held.emplace(start.job->id, Worker::Held{start.execution, session});
+void Front::Deliver(Worker* worker, Session* session, const StartAttempt& start) {
+  worker->held.emplace(start.job->id, Worker::Held{start.attempt, session});
   session->Answer(BulkString(EncodeFetched(*start.job, start.time_left)));
-  sink_->Tell(ExecutionHandedOver{start.execution});
+  sink_->Tell(AttemptSent{start.attempt});
 }
 
-void Front::Stop(ExecutionNo execution) {
-  const auto found = executions_.find(execution);
-  if (found == executions_.end())
+void Front::Stop(AttemptId attempt) {
+  const auto found = attempts_.find(attempt);
+  if (found == attempts_.end())
     return;
   const auto worker = workers_.find(found->second);
-  executions_.erase(found);
+  attempts_.erase(found);
   if (worker == workers_.end())
     return;  // it left, and with it all that it had
   Worker& w = worker->second;
-  std::erase_if(w.waiting, [execution](const StartExecution& s) { return s.execution == execution; });
-  const auto held = std::find_if(w.held.begin(), w.held.end(),
-                                 [&](const auto& h) { return h.second.execution == execution; });
+  std::erase_if(w.waiting, [attempt](const StartAttempt& s) { return s.attempt == attempt; });
+  const auto held =
+      std::find_if(w.held.begin(), w.held.end(), [&](const auto& h) { return h.second.attempt == attempt; });
   if (held == w.held.end())
     return;
   // The worker has no way to hear of it: its ACK will come, and must be known from one for a job it never
@@ -442,7 +442,7 @@
     Release(w);
     w.given_up.clear();
   }
-  w.given_up.emplace(held->first, execution);
+  w.given_up.emplace(held->first, attempt);
   w.held.erase(held);
 }
 
@@ -450,18 +450,18 @@
   Worker& w = workers_.at(wid);
   // One given up on earlier was fetched earlier: its end comes first.
   if (const auto late = w.given_up.find(ack.jid); late != w.given_up.end()) {
-    const ExecutionNo execution = late->second;
+    const AttemptId attempt = late->second;
     w.given_up.erase(late);
-    sink_->Tell(ExecutionReleased{execution});
+    sink_->Tell(AbandonedAttemptEnded{attempt});
     return SimpleString("OK");  // nobody waits for it any more
   }
   const auto held = w.held.find(ack.jid);
   if (held == w.held.end())
     return Error("ERR", "unknown job " + ack.jid);
-  const ExecutionNo execution = held->second.execution;
+  const AttemptId attempt = held->second.attempt;
   w.held.erase(held);
-  executions_.erase(execution);
-  sink_->Tell(ExecutionEnded{execution, outcome, ack.result, {}});
+  attempts_.erase(attempt);
+  sink_->Tell(AttemptEnded{attempt, outcome, ack.result, {}});
   return SimpleString("OK");
 }
 
@@ -482,7 +482,7 @@
   if (!by_end && w.sessions == 1)
     return Lose(name);
   --w.sessions;
-  std::vector<ExecutionNo> lost;
+  std::vector<AttemptId> lost;
   for (auto& [jid, held] : w.held) {
     if (held.session != session)
       continue;
@@ -490,23 +490,23 @@
     // opens the next a moment after it has ended the last.
     held.session = nullptr;
     if (!by_end)
-      lost.push_back(held.execution);
+      lost.push_back(held.attempt);
   }
   if (w.sessions == 0) {
     w.silence->Set(settings_.return_within);
     w.instance.state = Instance::State::kDraining;
     TellState(w);
   }
-  for (const ExecutionNo execution : lost) {
-    std::erase_if(w.held, [execution](const auto& h) { return h.second.execution == execution; });
-    executions_.erase(execution);
-    sink_->Tell(ExecutionEnded{execution, Outcome::kLost, "", {}});
+  for (const AttemptId attempt : lost) {
+    std::erase_if(w.held, [attempt](const auto& h) { return h.second.attempt == attempt; });
+    attempts_.erase(attempt);
+    sink_->Tell(AttemptEnded{attempt, Outcome::kLost, "", {}});
   }
 }
 
 void Front::Release(const Worker& worker) {
-  for (const auto& [jid, execution] : worker.given_up)
-    sink_->Tell(ExecutionReleased{execution});
+  for (const auto& [jid, attempt] : worker.given_up)
+    sink_->Tell(AbandonedAttemptEnded{attempt});
 }
 
 void Front::Lose(const std::string& name) {
@@ -520,22 +520,22 @@
   }
   for (Session* one : its)
     Remove(one);
-  std::vector<ExecutionNo> lost, unsent;
+  std::vector<AttemptId> lost, unsent;
   for (const auto& [jid, held] : gone.held)
-    lost.push_back(held.execution);
-  for (const StartExecution& start : gone.waiting)
-    unsent.push_back(start.execution);
+    lost.push_back(held.attempt);
+  for (const StartAttempt& start : gone.waiting)
+    unsent.push_back(start.attempt);
   gone.instance.state = Instance::State::kGone;
   // The name table first: what is lost here must not be sent here again.
   TellState(gone);
   Release(gone);
-  for (const ExecutionNo execution : unsent) {
-    executions_.erase(execution);
-    sink_->Tell(ExecutionEnded{execution, Outcome::kConnectFailed, "", {}});
+  for (const AttemptId attempt : unsent) {
+    attempts_.erase(attempt);
+    sink_->Tell(AttemptEnded{attempt, Outcome::kConnectFailed, "", {}});
   }
-  for (const ExecutionNo execution : lost) {
-    executions_.erase(execution);
-    sink_->Tell(ExecutionEnded{execution, Outcome::kLost, "", {}});
+  for (const AttemptId attempt : lost) {
+    attempts_.erase(attempt);
+    sink_->Tell(AttemptEnded{attempt, Outcome::kLost, "", {}});
   }
 }
 
--- a/src/faktory/front.h
+++ b/src/faktory/front.h
@@ -37,8 +37,8 @@
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;
   void Reply(std::uint64_t client, const FinalAnswer& answer);
-  void Start(const StartExecution& start);
-  void Stop(ExecutionNo execution);
+  void Start(const StartAttempt& start);
+  void Stop(AttemptId attempt);
   // From here on closes producers' sessions, each between two commands. Workers stay: what was taken needs
   // them.
   void BeginDrain();
@@ -52,15 +52,15 @@
   struct Worker {
     Instance instance;
     int sessions = 0;
-    bool quiet = false;                  // it said so
-    std::deque<Session*> fetching;       // parked FETCHes, the longest waiting first
-    std::deque<StartExecution> waiting;  // executions given to it that wait for a FETCH
+    bool quiet = false;                // it said so
+    std::deque<Session*> fetching;     // parked FETCHes, the longest waiting first
+    std::deque<StartAttempt> waiting;  // executions given to it that wait for a FETCH
     struct Held {
-      ExecutionNo execution{};
+      AttemptId attempt{};
       const Session* session = nullptr;  // that fetched it; none once that has ended by END
     };
-    std::unordered_multimap<std::string, Held> held;             // fetched, by jid
-    std::unordered_multimap<std::string, ExecutionNo> given_up;  // fetched, ended by us, not yet acknowledged
+    std::unordered_multimap<std::string, Held> held;           // fetched, by jid
+    std::unordered_multimap<std::string, AttemptId> given_up;  // fetched, ended by us, not yet acknowledged
     std::unique_ptr<Timer> silence;  // what it is not heard of for, or not connected
   };
 
@@ -69,7 +69,7 @@
   void Enter(Session* session, const Hello& hello);
   void Park(Session* session);
   void Unpark(Session* session);
-  void HandOver(Worker* worker, Session* session, const StartExecution& start);
+  void Deliver(Worker* worker, Session* session, const StartAttempt& start);
   // The reply to an ACK or FAIL.
   std::string Acknowledge(const std::string& wid, const Ack& ack, Outcome outcome);
   std::string Hear(const std::string& wid, const Beat& beat);
@@ -92,7 +92,7 @@
   EventPtr<evconnlistener> listener_;
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
   std::map<std::string, Worker> workers_;                // by instance name
-  std::map<ExecutionNo, std::string> executions_;        // waiting or held, to the worker's name
+  std::map<AttemptId, std::string> attempts_;            // waiting or held, to the worker's name
   std::unordered_map<std::uint64_t, Session*> clients_;  // pushes that wait for their answer
   std::uint64_t next_client_ = 1;
   std::uint64_t pushed_ = 0, done_ = 0, failed_ = 0;
--- a/src/http/codec.cpp
+++ b/src/http/codec.cpp
@@ -116,13 +116,13 @@
 
 LoadReport DecodeLoad(std::string_view text) { return LoadOf(Json::parse(text, nullptr, false)); }
 
-ExecutionLine DecodeExecutionLine(std::string_view text, const std::string& request_id) {
-  using State = ExecutionLine::State;
+AttemptLine DecodeAttemptLine(std::string_view text, const std::string& request_id) {
+  using State = AttemptLine::State;
   const Json json = ParseObject(text);
   // An answer to something else must never be passed on as the answer to this.
   if (TextOf(json, "id") != request_id)
     throw BadMessage("id is not the request's");
-  ExecutionLine line;
+  AttemptLine line;
   const std::string state = TextOf(json, "state");
   if (state == "started") {
     line.state = State::kStarted;
--- a/src/http/codec.h
+++ b/src/http/codec.h
@@ -39,13 +39,13 @@
 LoadReport DecodeLoad(std::string_view text);
 
 // One line of an instance's answer.
-struct ExecutionLine {
+struct AttemptLine {
   enum class State { kStarted, kRunning, kDone, kFailed, kReturned, kLost } state = State::kDone;
   double share = 0.0;
   std::string result;
   LoadReport load;
 };
-ExecutionLine DecodeExecutionLine(std::string_view line, const std::string& request_id);
+AttemptLine DecodeAttemptLine(std::string_view line, const std::string& request_id);
 
 // "480m" or "250000u".
 Micros DecodeDeadline(std::string_view text);
--- a/src/http/instance_link.cpp
+++ b/src/http/instance_link.cpp
@@ -77,13 +77,13 @@
     return true;
   }
 
-  void Run(ExecutionNo execution, std::shared_ptr<const Job> job) {
-    execution_ = execution;
+  void Run(AttemptId attempt, std::shared_ptr<const Job> job) {
+    attempt_ = attempt;
     job_ = std::move(job);
   }
   // In this very moment as far as the kernel takes it, not in the loop's next turn: what was judged must
   // still hold at the first byte.
-  void HandOver(Micros time_left) {
+  void Send(Micros time_left) {
     bufferevent* stream = stream_.get();
     evbuffer* output = bufferevent_get_output(stream);
     Write(Encode(*job_, address, time_left));
@@ -99,22 +99,22 @@
     Write(message);
     probe_timer_.Set(link_->dial_timeout_ * 4);  // a probe that takes longer tells nothing
   }
-  std::optional<RunningExecution> Running() const {
-    if (!handed_over_ || settled_ || whole_ || received_.size() > kMostKept)
+  std::optional<TransferredAttempt> Running() const {
+    if (!sent_ || settled_ || whole_ || received_.size() > kMostKept)
       return std::nullopt;
-    return RunningExecution{bufferevent_getfd(stream_.get()), address, received_};
+    return TransferredAttempt{bufferevent_getfd(stream_.get()), address, received_};
   }
   // The instance has the request already, and has answered with this much.
-  void Resume(ExecutionNo execution, std::shared_ptr<const Job> job, const std::string& received) {
-    Run(execution, std::move(job));
-    handed_over_ = true;
+  void Resume(AttemptId attempt, std::shared_ptr<const Job> job, const std::string& received) {
+    Run(attempt, std::move(job));
+    sent_ = true;
     received_ = received;
     Parse(received.data(), received.size());
     notes_.clear();  // told before
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
   }
   // Lets go of the execution without a word: the core has ended it.
-  void Abandon() { execution_.reset(); }
+  void Abandon() { attempt_.reset(); }
 
   const std::string address;
   const Micros began = SteadyNow();
@@ -129,10 +129,10 @@
 
   static void OnTaken(evbuffer* output, const evbuffer_cb_info* info, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if (info->n_deleted == 0 || c->handed_over_ || !c->execution_ || evbuffer_get_length(output) > 0)
+    if (info->n_deleted == 0 || c->sent_ || !c->attempt_ || evbuffer_get_length(output) > 0)
       return;
-    c->handed_over_ = true;
-    c->link_->sink_->Tell(ExecutionHandedOver{*c->execution_});
+    c->sent_ = true;
+    c->link_->sink_->Tell(AttemptSent{*c->attempt_});
   }
 
   static void OnRead(bufferevent* stream, void* arg) {
@@ -140,7 +140,7 @@
     evbuffer* input = bufferevent_get_input(stream);
     const std::size_t size = evbuffer_get_length(input);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    if (c->execution_ && c->received_.size() <= kMostKept)
+    if (c->attempt_ && c->received_.size() <= kMostKept)
       c->received_.append(bytes, size);
     c->Parse(bytes, size);
     evbuffer_drain(input, size);
@@ -154,19 +154,19 @@
 
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if ((what & BEV_EVENT_CONNECTED) != 0 && c->execution_)
-      return c->link_->sink_->Tell(ExecutionConnected{*c->execution_});
+    if ((what & BEV_EVENT_CONNECTED) != 0 && c->attempt_)
+      return c->link_->sink_->Tell(AttemptConnected{*c->attempt_});
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0)
       return;
     if ((what & BEV_EVENT_EOF) != 0) {
       c->Parse(nullptr, 0);  // ends an answer framed by the connection's end
-      if (c->whole_ && (c->execution_ || c->probed_))
+      if (c->whole_ && (c->attempt_ || c->probed_))
         return c->Settle();
     }
     if (c->HasLastLine())
       return c->Settle();
     // Broken before the request's last byte was written: it cannot have run.
-    c->Break(c->handed_over_ ? Outcome::kLost : Outcome::kConnectFailed);
+    c->Break(c->sent_ ? Outcome::kLost : Outcome::kConnectFailed);
   }
 
   // Tells nobody anything: whoever is told may end this connection, which must not happen inside the parser.
@@ -177,7 +177,7 @@
 
   void TellProgress() {
     InstanceLink* link = link_;
-    for (const ExecutionProgress& note : std::exchange(notes_, {}))
+    for (const AttemptProgress& note : std::exchange(notes_, {}))
       link->sink_->Tell(note);
   }
 
@@ -235,7 +235,7 @@
       if (text.find_first_not_of(" \t\r") == std::string_view::npos)
         continue;
       try {
-        OnLine(DecodeExecutionLine(text, job_->id));
+        OnLine(DecodeAttemptLine(text, job_->id));
       } catch (const BadMessage& e) {
         Log(LogLevel::kWarning, "instance_answer_bad", {{"address", address}, {"what", e.what()}});
         return 1;
@@ -245,28 +245,28 @@
     return 0;
   }
 
-  void OnLine(ExecutionLine line) {
-    using State = ExecutionLine::State;
+  void OnLine(AttemptLine line) {
+    using State = AttemptLine::State;
     if (line.state == State::kStarted || line.state == State::kRunning) {
-      if (execution_)
-        notes_.push_back({*execution_, line.state == State::kStarted, line.share});
+      if (attempt_)
+        notes_.push_back({*attempt_, line.state == State::kStarted, line.share});
       return;
     }
     const Outcome outcome = line.state == State::kDone       ? Outcome::kServed
                             : line.state == State::kReturned ? Outcome::kFull
                             : line.state == State::kLost     ? Outcome::kLost
                                                              : Outcome::kError;
-    last_ = ExecutionEnded{{}, outcome, std::move(line.result), line.load};
+    last_ = AttemptEnded{{}, outcome, std::move(line.result), line.load};
     settled_ = true;
   }
 
   // Once no more comes: whether the last line has come, maybe without its line's end. No part of an object is
   // one itself, so what can be read is whole; what cannot was cut.
   bool HasLastLine() {
-    if (settled_ || !execution_ || parser_.status_code != 200)
+    if (settled_ || !attempt_ || parser_.status_code != 200)
       return settled_;
     try {
-      OnLine(DecodeExecutionLine(line_, job_->id));
+      OnLine(DecodeAttemptLine(line_, job_->id));
     } catch (const BadMessage&) {
     }
     return settled_;
@@ -275,7 +275,7 @@
   // The last line, or all of the answer, has come. The connection is closed before the core hears of it, so
   // that a resend finds room.
   void Settle() {
-    ExecutionEnded ended;
+    AttemptEnded ended;
     if (HasLastLine()) {
       ended = std::move(last_);
     } else if (parser_.status_code == 200) {
@@ -288,20 +288,20 @@
       load_ = DecodeLoad(line_);
     if (!HasFigures(ended.report))
       ended.report = load_;
-    const auto execution = std::exchange(execution_, std::nullopt);
+    const auto attempt = std::exchange(attempt_, std::nullopt);
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
     const Micros elapsed = SteadyNow() - started_;
     InstanceLink* link = link_;
     notes_.clear();
-    if (execution)
-      link->busy_.erase(*execution);
+    if (attempt)
+      link->busy_.erase(*attempt);
     link->Remove(this);  // and with it all of this object
     if (probed)
       done(ProbeAnswered{*probed, ended.outcome, elapsed, ended.report});
-    if (!execution)
+    if (!attempt)
       return;
-    ended.execution = *execution;
+    ended.attempt = *attempt;
     link->sink_->Tell(std::move(ended));
   }
 
@@ -310,19 +310,19 @@
   }
 
   void Break(Outcome outcome) {
-    ExecutionEnded ended{{}, outcome, "", load_};
-    const auto execution = std::exchange(execution_, std::nullopt);
+    AttemptEnded ended{{}, outcome, "", load_};
+    const auto attempt = std::exchange(attempt_, std::nullopt);
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
     InstanceLink* link = link_;
-    if (execution)
-      link->busy_.erase(*execution);
+    if (attempt)
+      link->busy_.erase(*attempt);
     link->Remove(this);
     if (probed)
       done(ProbeAnswered{*probed, outcome, 0, {}});
-    if (!execution)
+    if (!attempt)
       return;
-    ended.execution = *execution;
+    ended.attempt = *attempt;
     link->sink_->Tell(std::move(ended));
   }
 
@@ -331,20 +331,20 @@
   Timer probe_timer_;
   ProbeDone probe_done_;
   http_parser parser_;
-  std::optional<ExecutionNo> execution_;
+  std::optional<AttemptId> attempt_;
   std::optional<std::string> probed_;
   std::shared_ptr<const Job> job_;  // of the execution
   Micros started_ = 0;
-  bool handed_over_ = false;  // the request's last byte is the kernel's
-  bool settled_ = false;      // its last line has come
-  bool whole_ = false;        // the answer's framing has ended too
+  bool sent_ = false;     // the request's last byte is the kernel's
+  bool settled_ = false;  // its last line has come
+  bool whole_ = false;    // the answer's framing has ended too
   bool declined_ = false;
   std::size_t header_bytes_ = 0;
   std::string field_, value_, line_;
   std::string received_;  // while it runs, as another process may have to read it again; over kMostKept: cut
   LoadReport load_;
-  ExecutionEnded last_;
-  std::vector<ExecutionProgress> notes_;
+  AttemptEnded last_;
+  std::vector<AttemptProgress> notes_;
 };
 
 InstanceLink::InstanceLink(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink)
@@ -359,15 +359,15 @@
 
 InstanceLink::~InstanceLink() = default;
 
-std::optional<RunningExecution> InstanceLink::Borrow(ExecutionNo execution) const {
-  const auto found = busy_.find(execution);
+std::optional<TransferredAttempt> InstanceLink::Borrow(AttemptId attempt) const {
+  const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return std::nullopt;
   return found->second->Running();
 }
 
-void InstanceLink::Forget(ExecutionNo execution) {
-  const auto found = busy_.find(execution);
+void InstanceLink::Forget(AttemptId attempt) {
+  const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return;
   Connection* connection = found->second;
@@ -376,15 +376,15 @@
   Remove(connection);
 }
 
-void InstanceLink::Resume(ExecutionNo execution, std::shared_ptr<const Job> job,
-                          const RunningExecution& running) {
+void InstanceLink::Resume(AttemptId attempt, std::shared_ptr<const Job> job,
+                          const TransferredAttempt& running) {
   EventPtr<bufferevent> stream(
       bufferevent_socket_new(base_, running.fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   auto connection = std::make_unique<Connection>(this, running.address, std::move(stream));
   Connection* raw = connection.get();
   connections_.emplace(raw, std::move(connection));
-  busy_.emplace(execution, raw);
-  raw->Resume(execution, std::move(job), running.received);
+  busy_.emplace(attempt, raw);
+  raw->Resume(attempt, std::move(job), running.received);
 }
 
 InstanceLink::Connection* InstanceLink::Open(const std::string& address) {
@@ -410,24 +410,24 @@
   return raw;
 }
 
-void InstanceLink::Start(const StartExecution& start) {
+void InstanceLink::Start(const StartAttempt& start) {
   Connection* connection = Open(start.address);
   if (connection == nullptr) {
-    sink_->Tell(ExecutionEnded{start.execution, Outcome::kConnectFailed, "", {}});
+    sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
     return;
   }
-  busy_[start.execution] = connection;
-  connection->Run(start.execution, start.job);
+  busy_[start.attempt] = connection;
+  connection->Run(start.attempt, start.job);
 }
 
-void InstanceLink::HandOver(const HandOverExecution& hand_over) {
-  const auto found = busy_.find(hand_over.execution);
+void InstanceLink::Send(const SendAttempt& send) {
+  const auto found = busy_.find(send.attempt);
   if (found != busy_.end())
-    found->second->HandOver(hand_over.time_left);
+    found->second->Send(send.time_left);
 }
 
-void InstanceLink::Stop(ExecutionNo execution) {
-  const auto found = busy_.find(execution);
+void InstanceLink::Stop(AttemptId attempt) {
+  const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return;
   Connection* connection = found->second;
--- a/src/http/instance_link.h
+++ b/src/http/instance_link.h
@@ -20,7 +20,7 @@
 namespace aldersill {
 
 // An execution that its instance has whole, between two processes.
-struct RunningExecution {
+struct TransferredAttempt {
   evutil_socket_t fd = -1;
   std::string address;
   std::string received;  // of the answer so far
@@ -32,17 +32,17 @@
   ~InstanceLink();
 
   void Adopt(Micros dial_timeout, int most_connections);
-  // Connects; tells ExecutionConnected, and writes nothing before HandOver.
-  void Start(const StartExecution& start);
-  void HandOver(const HandOverExecution& hand_over);
-  void Stop(ExecutionNo execution);
+  // Connects; tells AttemptConnected, and writes nothing before Send.
+  void Start(const StartAttempt& start);
+  void Send(const SendAttempt& send);
+  void Stop(AttemptId attempt);
   // Nothing for one that is not handed over, or has answered too much to be told again. It stays this link's
   // until Forget.
-  std::optional<RunningExecution> Borrow(ExecutionNo execution) const;
+  std::optional<TransferredAttempt> Borrow(AttemptId attempt) const;
   // Lets go of it without a word: another process has it.
-  void Forget(ExecutionNo execution);
+  void Forget(AttemptId attempt);
   // Goes on with one that another process handed over.
-  void Resume(ExecutionNo execution, std::shared_ptr<const Job> job, const RunningExecution& running);
+  void Resume(AttemptId attempt, std::shared_ptr<const Job> job, const TransferredAttempt& running);
   // Tells the sink.
   void Probe(const ProbeInstance& probe);
   // Tells `done` instead, once, and maybe at once.
@@ -62,7 +62,7 @@
   std::size_t most_connections_ = 0;
   EventSink* sink_;
   std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
-  std::map<ExecutionNo, Connection*> busy_;
+  std::map<AttemptId, Connection*> busy_;
 };
 
 }  // namespace aldersill
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -38,9 +38,9 @@
   void operator()(const ClientLeft& e) const {
     Log(LogLevel::kDebug, "client_left", {{"client", e.client.number}});
   }
-  void operator()(const ExecutionEnded& e) const {
+  void operator()(const AttemptEnded& e) const {
     Log(LogLevel::kDebug, "execution_ended",
-        {{"execution", static_cast<std::uint64_t>(e.execution)},
+        {{"execution", static_cast<std::uint64_t>(e.attempt)},
          {"outcome", Name(e.outcome)},
          {"free", Told(e.report.free_slots)},
          {"cpu", Told(e.report.cpu_share)},
@@ -74,14 +74,12 @@
 };
 
 struct EffectLines {
-  void operator()(const StartExecution& e) const {
+  void operator()(const StartAttempt& e) const {
     Log(LogLevel::kDebug, "execution_started",
-        {{"execution", static_cast<std::uint64_t>(e.execution)},
-         {"id", e.job->id},
-         {"instance", e.instance}});
+        {{"execution", static_cast<std::uint64_t>(e.attempt)}, {"id", e.job->id}, {"instance", e.instance}});
   }
-  void operator()(const StopExecution& e) const {
-    Log(LogLevel::kDebug, "execution_stopped", {{"execution", static_cast<std::uint64_t>(e.execution)}});
+  void operator()(const StopAttempt& e) const {
+    Log(LogLevel::kDebug, "execution_stopped", {{"execution", static_cast<std::uint64_t>(e.attempt)}});
   }
   void operator()(const ProbeInstance& e) const {
     Log(LogLevel::kDebug, "probe_sent", {{"instance", e.instance}});
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -22,10 +22,10 @@
   std::uint64_t column = 0;
   const auto scalar = [&](Value value) { objects[{1, ++column, 0}] = std::move(value); };
   scalar(ToGauge(c.open_requests));
-  scalar(ToGauge(c.open_executions));
+  scalar(ToGauge(c.open_attempts));
   scalar(ToGauge(c.ready_instances));
   scalar(ToGauge(c.draining_instances));
-  scalar(Counter{c.executions_started});
+  scalar(Counter{c.attempts_started});
   scalar(Counter{c.repeats_barred});
   scalar(Counter{c.name_table_news});
   scalar(Counter{c.name_table_failures});
@@ -37,9 +37,9 @@
     for (const std::uint64_t count : {k.taken, k.served, k.nacked, k.failed, k.left, k.served_ms})
       objects[{2, 1, ++column, i + 1}] = Counter{count};
   }
-  for (std::uint64_t i = 0; i < c.executions.size(); ++i) {
+  for (std::uint64_t i = 0; i < c.attempts.size(); ++i) {
     objects[{3, 1, 2, i + 1}] = std::string(kOutcomes[i]);
-    objects[{3, 1, 3, i + 1}] = Counter{c.executions[i]};
+    objects[{3, 1, 3, i + 1}] = Counter{c.attempts[i]};
   }
   for (const auto& [status, count] : c.turned_away)
     objects[{7, 1, 2, static_cast<std::uint64_t>(status)}] = Counter{count};
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -37,7 +37,7 @@
 TEST_CASE("figures are statsd lines, and classes keep their order") {
   Counters counters;
   counters.classes = {{.name = "b", .served = 812, .nacked = 3, .failed = 1}, {.name = "a"}};
-  counters.executions_handed_over = 900;
+  counters.attempts_sent = 900;
   counters.waiting_clients = 14;
   counters.ready_instances = 5;
   counters.draining_instances = 2;
@@ -75,7 +75,7 @@
     job.time_left = kSecond;
     int starts = 0;
     for (const Effect& e : Tell(RequestTaken{{ClientRef::Front::kHttp, ++clients_}, job}))
-      starts += std::holds_alternative<StartExecution>(e);
+      starts += std::holds_alternative<StartAttempt>(e);
     return starts;
   }
   const Reducer& reducer() const { return reducer_; }
@@ -116,7 +116,7 @@
   REQUIRE(core.Starts() == 1);
   int stopped = 0;
   for (const Effect& e : core.Tell(WorkerBanned{"s-1", true}))
-    stopped += std::holds_alternative<StopExecution>(e);
+    stopped += std::holds_alternative<StopAttempt>(e);
   CHECK(stopped == 1);
 }
 
--- a/tests/daemon/client_crossings_test.cpp
+++ b/tests/daemon/client_crossings_test.cpp
@@ -100,14 +100,14 @@
   }
   Socket Connect() const { return tools::ConnectTo(daemon->ports().at("http")); }
   // The next execution's connection, with its whole head read.
-  Socket Execution(const std::string& id) const {
-    Socket execution = Accept(worker);
-    REQUIRE(Hear(execution, "\r\n\r\n").text.find("Req-Id: " + id + "\r\n") != std::string::npos);
-    return execution;
+  Socket Attempt(const std::string& id) const {
+    Socket attempt = Accept(worker);
+    REQUIRE(Hear(attempt, "\r\n\r\n").text.find("Req-Id: " + id + "\r\n") != std::string::npos);
+    return attempt;
   }
-  static void Done(const Socket& execution, const std::string& id) {
+  static void Done(const Socket& attempt, const std::string& id) {
     const std::string line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ran " + id + "\"}\n";
-    REQUIRE(Send(execution,
+    REQUIRE(Send(attempt,
                  "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size()) + "\r\n\r\n" + line));
   }
   bool NothingSentOn() const { return !Readable(worker, 0); }
@@ -147,10 +147,10 @@
       Rig rig;
       Socket client = rig.Connect();
       REQUIRE(Send(client, Request("r1")));
-      const Socket execution = rig.Execution("r1");
+      const Socket attempt = rig.Attempt("r1");
       CHECK(Send(client, std::string(flood, 'x')));
       reset ? Reset(&client) : client.Close();
-      CHECK(Hear(execution).end != End::kOpen);
+      CHECK(Hear(attempt).end != End::kOpen);
     }
   }
 }
@@ -159,9 +159,9 @@
   Rig rig;
   const Socket client = rig.Connect();
   REQUIRE(Send(client, Request("r1")));
-  const Socket execution = rig.Execution("r1");
+  const Socket attempt = rig.Attempt("r1");
   shutdown(client.fd(), SHUT_WR);
-  CHECK(Hear(execution).end != End::kOpen);
+  CHECK(Hear(attempt).end != End::kOpen);
   CHECK(Hear(client).text.empty());
 }
 
@@ -169,11 +169,11 @@
   Rig rig;
   const Socket client = rig.Connect();
   REQUIRE(Send(client, Request("r1")));
-  const Socket first = rig.Execution("r1");
+  const Socket first = rig.Attempt("r1");
   REQUIRE(Send(client, Request("r2", std::string(64 << 10, 'b'))));
   Rig::Done(first, "r1");
   CHECK(Hear(client, "ran r1").text.starts_with(kServed));
-  const Socket second = rig.Execution("r2");
+  const Socket second = rig.Attempt("r2");
   Rig::Done(second, "r2");
   CHECK(Hear(client, "ran r2").text.starts_with(kServed));
 }
@@ -182,10 +182,10 @@
   Rig rig;
   const Socket client = rig.Connect();
   REQUIRE(Send(client, Request("r1")));
-  const Socket execution = rig.Execution("r1");
+  const Socket attempt = rig.Attempt("r1");
   // More than the system holds: what is sent has been read, but for some of it.
   REQUIRE(Send(client, std::string(32 << 20, 'x')));
-  Rig::Done(execution, "r1");
+  Rig::Done(attempt, "r1");
   const Heard heard = Hear(client);
   CHECK(heard.end == End::kClosed);
   CHECK(heard.text.starts_with(kServed + "Connection: close\r\n"));
@@ -237,10 +237,10 @@
   REQUIRE(Send(client, Request("r1", "", 9'000, "certificado")));  // may be sent again
   pollfd both[] = {{one.fd(), POLLIN, 0}, {two.fd(), POLLIN, 0}};
   REQUIRE(poll(both, 2, kPatienceMs) == 1);
-  Socket execution = Accept(both[0].revents != 0 ? one : two);
-  REQUIRE(!Hear(execution, "\r\n\r\n").text.empty());
+  Socket attempt = Accept(both[0].revents != 0 ? one : two);
+  REQUIRE(!Hear(attempt, "\r\n\r\n").text.empty());
   rig.daemon->Stop();
-  execution.Close();
+  attempt.Close();
   client.Close();
   rig.daemon->Signal(SIGCONT);
   rig.daemon->Signal(SIGTERM);
@@ -293,12 +293,12 @@
   Rig rig;
   const Socket client = rig.Connect();
   REQUIRE(Send(client, Request("r1")));
-  const Socket execution = rig.Execution("r1");
+  const Socket attempt = rig.Attempt("r1");
   REQUIRE(Send(client, Request("r2")));
   for (const int number : {SIGTERM, SIGTERM, SIGHUP})
     rig.daemon->Signal(number);
   REQUIRE(rig.daemon->Logs("draining"));
-  Rig::Done(execution, "r1");
+  Rig::Done(attempt, "r1");
   const Heard heard = Hear(client);
   CHECK(heard.end == End::kClosed);
   CHECK(heard.text.starts_with(kServed + "Connection: close\r\n"));
@@ -317,7 +317,7 @@
   REQUIRE(rig.daemon->Logs("draining"));
   std::this_thread::sleep_until(signalled + std::chrono::milliseconds(800));  // when it counts as late
   REQUIRE(Send(client, request.substr(request.size() - 8)));
-  const Socket execution = rig.Execution("r1");
+  const Socket attempt = rig.Attempt("r1");
   // The worker does not answer. By its own word the client waits for 20 s, SIGKILL comes after 3.7 s.
   const Heard heard = Hear(client);
   CHECK(heard.text.starts_with("HTTP/1.1 504 Gateway Timeout\r\nConnection: close\r\n"));
@@ -369,10 +369,10 @@
   Rig rig;
   const Socket late = rig.Connect();
   REQUIRE(Send(late, Request("r1")));
-  const Socket execution = rig.Execution("r1");
+  const Socket attempt = rig.Attempt("r1");
   rig.daemon->Signal(SIGTERM);
   REQUIRE(rig.daemon->Logs("draining"));
-  Rig::Done(execution, "r1");
+  Rig::Done(attempt, "r1");
   CHECK(rig.daemon->Wait() == 0);
   const Heard heard = Hear(late);
   CHECK(heard.text.starts_with(kServed + "Connection: close\r\n"));
@@ -404,7 +404,7 @@
 TEST_CASE("descriptors that are spent do not make the daemon spin, and newcomers are served later") {
   Rig rig;
   std::vector<Socket> clients;
-  std::vector<Socket> executions;
+  std::vector<Socket> attempts;
   // Until its descriptors lie without a gap: the next connection cannot be accepted then.
   const auto least_free = [&] {
     int fd = 0;
@@ -417,7 +417,7 @@
     clients.push_back(rig.Connect());
     const std::string id = "r" + std::to_string(clients.size());
     REQUIRE(Send(clients.back(), Request(id)));
-    executions.push_back(rig.Execution(id));
+    attempts.push_back(rig.Attempt(id));
   } while (least_free() < Descriptors(rig));
   rlimit most{};
   REQUIRE(prlimit(rig.daemon->pid(), RLIMIT_NOFILE, nullptr, &most) == 0);
@@ -458,7 +458,7 @@
   }
   const Socket good = rig.Connect();
   REQUIRE(Send(good, Request("r1")));
-  Rig::Done(rig.Execution("r1"), "r1");
+  Rig::Done(rig.Attempt("r1"), "r1");
   CHECK(Hear(good, "ran r1").text.starts_with(kServed));
 }
 
@@ -473,7 +473,7 @@
   REQUIRE(Send(client, kReady));
   CHECK(Hear(client, "worker list yet\n").text.starts_with(kUnavailable));
   REQUIRE(Send(client, Request("r1")));
-  Rig::Done(rig.Execution("r1"), "r1");
+  Rig::Done(rig.Attempt("r1"), "r1");
   CHECK(Hear(client, "ran r1").text.starts_with(kServed));
 }
 
@@ -497,7 +497,7 @@
   REQUIRE(Send(prober, kReady));
   CHECK(Hear(prober, "ready\n").text.starts_with(kServed));
   REQUIRE(Send(prober, Request("r2")));
-  Rig::Done(rig.Execution("r2"), "r2");
+  Rig::Done(rig.Attempt("r2"), "r2");
   CHECK(Hear(prober, "ran r2").text.starts_with(kServed));
 }
 
--- a/tests/daemon/core_test.cpp
+++ b/tests/daemon/core_test.cpp
@@ -92,14 +92,14 @@
 TEST_CASE("a request is answered once, whatever comes after") {
   Bench b;
   b.Ask(1, "safe");
-  const auto start = b.Only<StartExecution>();
+  const auto start = b.Only<StartAttempt>();
   CHECK(start.address == "a:1");
   CHECK(start.time_left <= kSecond - 20 * kMillisecond);  // the answer still has to travel
-  b.Tell(ExecutionHandedOver{start.execution});
-  b.Tell(ExecutionEnded{start.execution, Outcome::kServed, "r", {}});
+  b.Tell(AttemptSent{start.attempt});
+  b.Tell(AttemptEnded{start.attempt, Outcome::kServed, "r", {}});
   CHECK(std::get<Served>(b.Only<Answer>().answer).result == "r");
   CHECK(b.core().Quiet());
-  b.Tell(ExecutionEnded{start.execution, Outcome::kLost, "", {}});
+  b.Tell(AttemptEnded{start.attempt, Outcome::kLost, "", {}});
   b.Tell(ClientLeft{{ClientRef::Front::kHttp, 1}});
   CHECK(b.Effects<Answer>().empty());
 }
@@ -112,7 +112,7 @@
   b.News(NameTableNews::Form::kLeftChanges, {Bench::Worker("a", Instance::State::kDraining)});
   for (std::uint64_t client = 1; client <= 8; ++client) {
     b.Ask(client, "once");
-    CHECK(b.Only<StartExecution>().instance == "b");
+    CHECK(b.Only<StartAttempt>().instance == "b");
   }
   std::size_t watches = 0;
   for (const SetTimer& timer : timers) {
@@ -125,23 +125,23 @@
 TEST_CASE("an execution not yet handed over never reaches an instance told to drain") {
   Bench b;
   b.Ask(1, "once");
-  const auto start = b.Only<StartExecution>();
+  const auto start = b.Only<StartAttempt>();
   b.News(NameTableNews::Form::kChanges, {Bench::Worker("a", Instance::State::kDraining), Bench::Worker("b")});
-  CHECK(b.Only<StopExecution>().execution == start.execution);
-  CHECK(b.Only<StartExecution>().instance == "b");  // it never ran, so even this class goes elsewhere
+  CHECK(b.Only<StopAttempt>().attempt == start.attempt);
+  CHECK(b.Only<StartAttempt>().instance == "b");  // it never ran, so even this class goes elsewhere
 }
 
 TEST_CASE("an execution not yet handed over never reaches an instance that has been started anew") {
   Bench b;
   b.Ask(1, "once");
-  const auto start = b.Only<StartExecution>();
+  const auto start = b.Only<StartAttempt>();
   Instance again = Bench::Worker("a");
   b.News(NameTableNews::Form::kChanges, {again, Bench::Worker("b")});  // news of no such thing
-  CHECK(b.Effects<StopExecution>().empty());
+  CHECK(b.Effects<StopAttempt>().empty());
   again.started = kStart;
   b.News(NameTableNews::Form::kChanges, {again});
-  CHECK(b.Only<StopExecution>().execution == start.execution);
-  CHECK(b.Only<StartExecution>().instance == "b");
+  CHECK(b.Only<StopAttempt>().attempt == start.attempt);
+  CHECK(b.Only<StartAttempt>().instance == "b");
 }
 
 TEST_CASE(
@@ -150,41 +150,41 @@
   b.Tell(NameTableGood{3 * kSecond});
   const auto timer = b.Only<SetTimer>();
   b.Ask(1, "once");
-  const auto handed_over = b.Only<StartExecution>();
-  b.Tell(ExecutionHandedOver{handed_over.execution});
+  const auto sent = b.Only<StartAttempt>();
+  b.Tell(AttemptSent{sent.attempt});
   b.Ask(2, "safe");
-  const auto connecting = b.Only<StartExecution>();
+  const auto connecting = b.Only<StartAttempt>();
   SUBCASE("by the timer") {
     b.Tell(NameTableGood{kSecond});  // sooner than the timer, later than when it was told before
     b.Tell(NameTableGood{2 * kSecond}, 900 * kMillisecond);
     b.Tell(TimerDue{timer.key}, 1'999 * kMillisecond);
-    CHECK(b.Effects<StopExecution>().empty());
+    CHECK(b.Effects<StopAttempt>().empty());
     b.Tell(TimerDue{timer.key}, b.Only<SetTimer>().delay);
     // A connection that comes up late must not send. It never ran, and trying again later is harmless.
-    CHECK(b.Only<StopExecution>().execution == connecting.execution);
+    CHECK(b.Only<StopAttempt>().attempt == connecting.attempt);
   }
   SUBCASE("by an event that is there before the timer") {
     b.Tell(ClientLeft{{ClientRef::Front::kHttp, 9}}, 3 * kSecond);
-    CHECK(b.Only<StopExecution>().execution == connecting.execution);
+    CHECK(b.Only<StopAttempt>().attempt == connecting.attempt);
   }
   SUBCASE("at once") {
     b.Tell(NameTableGood{0});
-    CHECK(b.Only<StopExecution>().execution == connecting.execution);
+    CHECK(b.Only<StopAttempt>().attempt == connecting.attempt);
   }
   for (const char* job_class : {"safe", "keyed", "once"}) {
     b.Ask(3, job_class);
-    CHECK(b.Effects<StartExecution>().empty());
+    CHECK(b.Effects<StartAttempt>().empty());
     CHECK(std::get<Nack>(b.Only<Answer>().answer).retry_after > 0);
   }
   b.News(NameTableNews::Form::kRemembered,
          {Bench::Worker("a"), Bench::Worker("b")});  // of a source that was left
   b.Ask(4, "safe");
-  CHECK(b.Effects<StartExecution>().empty());
+  CHECK(b.Effects<StartAttempt>().empty());
   b.News(NameTableNews::Form::kWhole, {Bench::Worker("b")});
   b.Tell(NameTableGood{kSecond});
   b.Ask(5, "safe");
-  CHECK(b.Only<StartExecution>().instance == "b");
-  b.Tell(ExecutionEnded{handed_over.execution, Outcome::kServed, "r", {}});
+  CHECK(b.Only<StartAttempt>().instance == "b");
+  b.Tell(AttemptEnded{sent.attempt, Outcome::kServed, "r", {}});
   CHECK(std::get<Served>(b.Only<Answer>().answer).result == "r");
 }
 
@@ -192,25 +192,25 @@
   Bench b;
   b.Tell(NameTableGood{kSecond});
   b.Ask(1, "once", "", 5 * kSecond);
-  const auto start = b.Only<StartExecution>();
-  b.Tell(ExecutionConnected{start.execution}, 999 * kMillisecond - 1);
-  CHECK(b.Only<HandOverExecution>().execution == start.execution);
-  b.Tell(ExecutionHandedOver{start.execution});  // the first that is told after that time
-  CHECK(b.Effects<StopExecution>().empty());
+  const auto start = b.Only<StartAttempt>();
+  b.Tell(AttemptConnected{start.attempt}, 999 * kMillisecond - 1);
+  CHECK(b.Only<SendAttempt>().attempt == start.attempt);
+  b.Tell(AttemptSent{start.attempt});  // the first that is told after that time
+  CHECK(b.Effects<StopAttempt>().empty());
   CHECK(b.Effects<Answer>().empty());
-  b.Tell(ExecutionEnded{start.execution, Outcome::kLost, "", {}}, 0);
+  b.Tell(AttemptEnded{start.attempt, Outcome::kLost, "", {}}, 0);
   CHECK(std::holds_alternative<Failure>(b.Only<Answer>().answer));
 }
 
 TEST_CASE("what was handed over stays where it is, and the class that must run once is not sent again") {
   Bench b;
   b.Ask(1, "once");
-  const auto start = b.Only<StartExecution>();
-  b.Tell(ExecutionHandedOver{start.execution});
+  const auto start = b.Only<StartAttempt>();
+  b.Tell(AttemptSent{start.attempt});
   b.News(NameTableNews::Form::kWhole, {Bench::Worker("b")});  // "a" is gone from the whole list
-  CHECK(b.Effects<StopExecution>().empty());
-  b.Tell(ExecutionEnded{start.execution, Outcome::kLost, "", {}});
-  CHECK(b.Effects<StartExecution>().empty());
+  CHECK(b.Effects<StopAttempt>().empty());
+  b.Tell(AttemptEnded{start.attempt, Outcome::kLost, "", {}});
+  CHECK(b.Effects<StartAttempt>().empty());
   CHECK(std::holds_alternative<Failure>(b.Only<Answer>().answer));
 }
 
@@ -219,12 +219,12 @@
   Bench b;
   b.News(NameTableNews::Form::kChanges, {Bench::Worker("b")});
   b.Ask(1, "once");
-  const auto start = b.Only<StartExecution>();
-  b.Tell(TimerDue{{TimerKey::Wait::kHandover, static_cast<std::uint64_t>(start.execution)}},
+  const auto start = b.Only<StartAttempt>();
+  b.Tell(TimerDue{{TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(start.attempt)}},
          250 * kMillisecond);
-  CHECK(b.Only<StopExecution>().execution == start.execution);
-  CHECK(b.Only<StartExecution>().instance != start.instance);
-  CHECK(b.core().counters().executions[static_cast<std::size_t>(Outcome::kConnectFailed)] == 1);
+  CHECK(b.Only<StopAttempt>().attempt == start.attempt);
+  CHECK(b.Only<StartAttempt>().instance != start.instance);
+  CHECK(b.core().counters().attempts[static_cast<std::size_t>(Outcome::kConnectFailed)] == 1);
 }
 
 TEST_CASE(
@@ -238,18 +238,18 @@
       settings.module.cancel = cancels;
       Bench b(settings);
       b.Ask(1, job_class);
-      const auto connecting = b.Only<StartExecution>();
+      const auto connecting = b.Only<StartAttempt>();
       b.Ask(2, job_class);
-      const auto running = b.Only<StartExecution>();
-      b.Tell(ExecutionHandedOver{running.execution});
+      const auto running = b.Only<StartAttempt>();
+      b.Tell(AttemptSent{running.attempt});
       b.Tell(ClientLeft{{ClientRef::Front::kHttp, 1}});
-      CHECK(b.Only<StopExecution>().execution == connecting.execution);
-      CHECK(b.Effects<StartExecution>().empty());
-      b.Tell(ExecutionHandedOver{connecting.execution});  // told too late to be of any use
-      CHECK(b.core().counters().executions[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
+      CHECK(b.Only<StopAttempt>().attempt == connecting.attempt);
+      CHECK(b.Effects<StartAttempt>().empty());
+      b.Tell(AttemptSent{connecting.attempt});  // told too late to be of any use
+      CHECK(b.core().counters().attempts[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
       b.Tell(ClientLeft{{ClientRef::Front::kHttp, 2}});
-      CHECK(b.Effects<StopExecution>().size() == (cancels ? 1 : 0));
-      b.Tell(ExecutionEnded{running.execution, Outcome::kServed, "", {}});
+      CHECK(b.Effects<StopAttempt>().size() == (cancels ? 1 : 0));
+      b.Tell(AttemptEnded{running.attempt, Outcome::kServed, "", {}});
       CHECK(b.Effects<Answer>().empty());
       CHECK(b.core().Quiet());
     }
@@ -262,7 +262,7 @@
   settings.module.cancel = false;
   Bench b(settings);
   b.Ask(1, "once");
-  const auto start = b.Only<StartExecution>();
+  const auto start = b.Only<StartAttempt>();
   // The module's own deadline timer, while the connection still comes up: its wait is over before the
   // reducer's.
   for (const SetTimer& timer : b.Effects<SetTimer>()) {
@@ -272,7 +272,7 @@
       break;
   }
   CHECK(b.Effects<Answer>().size() == 1);
-  CHECK(b.Only<StopExecution>().execution == start.execution);
+  CHECK(b.Only<StopAttempt>().attempt == start.attempt);
   CHECK(b.core().Quiet());
 }
 
@@ -281,22 +281,22 @@
   Bench b;
   SUBCASE("in time it is handed over, with the time that is left by then") {
     b.Ask(1, "once");
-    const auto start = b.Only<StartExecution>();
-    b.Tell(ExecutionConnected{start.execution}, 200 * kMillisecond);
-    CHECK(b.Only<HandOverExecution>().execution == start.execution);
-    CHECK(b.Only<HandOverExecution>().time_left == 780 * kMillisecond);
+    const auto start = b.Only<StartAttempt>();
+    b.Tell(AttemptConnected{start.attempt}, 200 * kMillisecond);
+    CHECK(b.Only<SendAttempt>().attempt == start.attempt);
+    CHECK(b.Only<SendAttempt>().time_left == 780 * kMillisecond);
   }
   SUBCASE("past the deadline") {
     b.Ask(1, "safe", "", 300 * kMillisecond);
-    const auto start = b.Only<StartExecution>();
+    const auto start = b.Only<StartAttempt>();
     SUBCASE("the last moment") {
-      b.Tell(ExecutionConnected{start.execution}, 280 * kMillisecond - 1);
-      CHECK(b.Only<HandOverExecution>().time_left == 1);
+      b.Tell(AttemptConnected{start.attempt}, 280 * kMillisecond - 1);
+      CHECK(b.Only<SendAttempt>().time_left == 1);
     }
     SUBCASE("too late") {
-      b.Tell(ExecutionConnected{start.execution}, 280 * kMillisecond);
-      CHECK(b.Effects<HandOverExecution>().empty());
-      CHECK(b.Only<StopExecution>().execution == start.execution);
+      b.Tell(AttemptConnected{start.attempt}, 280 * kMillisecond);
+      CHECK(b.Effects<SendAttempt>().empty());
+      CHECK(b.Only<StopAttempt>().attempt == start.attempt);
       CHECK(b.Effects<Answer>().size() == 1);
       CHECK(b.core().Quiet());
     }
@@ -304,18 +304,18 @@
   SUBCASE("where the list is too old by then") {
     b.Ask(1, "safe");
     b.Tell(NameTableGood{200 * kMillisecond});
-    b.Tell(ExecutionConnected{ExecutionNo{1}}, 200 * kMillisecond);
-    CHECK(b.Effects<HandOverExecution>().empty());
-    CHECK(b.Only<StopExecution>().execution == ExecutionNo{1});
+    b.Tell(AttemptConnected{AttemptId{1}}, 200 * kMillisecond);
+    CHECK(b.Effects<SendAttempt>().empty());
+    CHECK(b.Only<StopAttempt>().attempt == AttemptId{1});
   }
   SUBCASE("where the instance drains, or whoever asked has left, nothing is left to be judged") {
     b.Ask(1, "safe");
     b.Ask(2, "safe");
     b.Tell(ClientLeft{{ClientRef::Front::kHttp, 1}});
     b.News(NameTableNews::Form::kChanges, {Bench::Worker("a", Instance::State::kDraining)});
-    for (const ExecutionNo number : {ExecutionNo{1}, ExecutionNo{2}}) {
-      b.Tell(ExecutionConnected{number});
-      CHECK(b.Effects<HandOverExecution>().empty());
+    for (const AttemptId number : {AttemptId{1}, AttemptId{2}}) {
+      b.Tell(AttemptConnected{number});
+      CHECK(b.Effects<SendAttempt>().empty());
     }
   }
 }
@@ -326,29 +326,29 @@
   Bench b(settings);
   b.News(NameTableNews::Form::kChanges, {Bench::Worker("b")});
   b.Ask(1, "keyed");
-  const auto first = b.Only<StartExecution>();
-  b.Tell(ExecutionConnected{first.execution});
-  b.Tell(ExecutionHandedOver{first.execution});
-  b.Tell(ExecutionEnded{first.execution, Outcome::kLost, "", {}}, 58 * kMillisecond);
-  const auto second = b.Only<StartExecution>();  // 60 ms after the first was decided on
-  const TimerKey wait{TimerKey::Wait::kHandover, static_cast<std::uint64_t>(second.execution)};
+  const auto first = b.Only<StartAttempt>();
+  b.Tell(AttemptConnected{first.attempt});
+  b.Tell(AttemptSent{first.attempt});
+  b.Tell(AttemptEnded{first.attempt, Outcome::kLost, "", {}}, 58 * kMillisecond);
+  const auto second = b.Only<StartAttempt>();  // 60 ms after the first was decided on
+  const TimerKey wait{TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(second.attempt)};
   Micros delay = 0;
   for (const SetTimer& timer : b.Effects<SetTimer>())
     delay = timer.key == wait ? timer.delay : delay;
   CHECK(delay == 40 * kMillisecond);
   SUBCASE("the last moment") {
-    b.Tell(ExecutionConnected{second.execution}, delay - 1);
-    CHECK(b.Only<HandOverExecution>().execution == second.execution);
+    b.Tell(AttemptConnected{second.attempt}, delay - 1);
+    CHECK(b.Only<SendAttempt>().attempt == second.attempt);
   }
   SUBCASE("too late") {
     SUBCASE("by the timer") { b.Tell(TimerDue{wait}, delay); }
-    SUBCASE("before the timer, which rings late") { b.Tell(ExecutionConnected{second.execution}, delay); }
-    CHECK(b.Effects<HandOverExecution>().empty());
-    CHECK(b.Only<StopExecution>().execution == second.execution);
-    CHECK(b.Effects<StartExecution>().empty());
+    SUBCASE("before the timer, which rings late") { b.Tell(AttemptConnected{second.attempt}, delay); }
+    CHECK(b.Effects<SendAttempt>().empty());
+    CHECK(b.Only<StopAttempt>().attempt == second.attempt);
+    CHECK(b.Effects<StartAttempt>().empty());
     // Its repeats are dropped wherever they come.
     CHECK(std::holds_alternative<Nack>(b.Only<Answer>().answer));
-    CHECK(b.core().counters().executions[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
+    CHECK(b.core().counters().attempts[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
     CHECK(b.core().Quiet());
   }
 }
@@ -360,42 +360,42 @@
   Bench b(settings);
   b.News(NameTableNews::Form::kChanges, {Bench::Worker("b")});
   b.Ask(1, "keyed", "", 5 * kSecond);
-  const auto first = b.Only<StartExecution>();
+  const auto first = b.Only<StartAttempt>();
   Micros waited = 0;
   for (const SetTimer& timer : b.Effects<SetTimer>()) {
     if (timer.key.wait != TimerKey::Wait::kModule || timer.delay >= 4 * kSecond || waited > 0)
       continue;
     b.Tell(TimerDue{timer.key}, timer.delay);
-    waited = b.Effects<StopExecution>().empty() ? 0 : timer.delay;
+    waited = b.Effects<StopAttempt>().empty() ? 0 : timer.delay;
   }
   REQUIRE(waited > kSecond);
-  CHECK(b.Only<StopExecution>().execution == first.execution);
-  CHECK(b.core().counters().executions[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
-  const auto second = b.Only<StartExecution>();
-  b.Tell(ExecutionHandedOver{second.execution});
+  CHECK(b.Only<StopAttempt>().attempt == first.attempt);
+  CHECK(b.core().counters().attempts[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
+  const auto second = b.Only<StartAttempt>();
+  b.Tell(AttemptSent{second.attempt});
   // The window is counted from the second, the first that may have run.
-  b.Tell(ExecutionEnded{second.execution, Outcome::kLost, "", {}}, 2 * kSecond - 2 * kMillisecond);
-  CHECK(b.Effects<StartExecution>().size() == 1);
+  b.Tell(AttemptEnded{second.attempt, Outcome::kLost, "", {}}, 2 * kSecond - 2 * kMillisecond);
+  CHECK(b.Effects<StartAttempt>().size() == 1);
 }
 
 TEST_CASE("a class that must not be repeated goes again only where no byte can have run") {
   enum class How {
-    kEnded,     // the link tells the outcome
-    kHandover,  // not handed over in time
-    kGiveUp,    // no answer in time
-    kDrain,     // news
-    kDistrust,  // the list is too old
-    kLate,      // connected after its time
+    kEnded,         // the link tells the outcome
+    kSendDeadline,  // not handed over in time
+    kGiveUp,        // no answer in time
+    kDrain,         // news
+    kDistrust,      // the list is too old
+    kLate,          // connected after its time
   };
   struct {
     std::string what;
-    bool handed_over;
+    bool sent;
     How how;
     Outcome outcome;  // told for kEnded, counted for all
     bool never_ran;
   } const kEnds[] = {
       {"refused, or broken before the last byte", false, How::kEnded, Outcome::kConnectFailed, true},
-      {"never up", false, How::kHandover, Outcome::kConnectFailed, true},
+      {"never up", false, How::kSendDeadline, Outcome::kConnectFailed, true},
       {"told to drain before the last byte", false, How::kDrain, Outcome::kNotSent, true},
       {"an answer before the last byte: nobody knows what it is to", false, How::kEnded, Outcome::kError,
        false},
@@ -415,20 +415,20 @@
       Bench b;
       b.News(NameTableNews::Form::kChanges, {Bench::Worker("b")});
       b.Ask(1, job_class);
-      const auto start = b.Only<StartExecution>();
-      const auto number = static_cast<std::uint64_t>(start.execution);
-      if (end.handed_over) {
-        b.Tell(ExecutionConnected{start.execution});
-        CHECK(b.Only<HandOverExecution>().execution == start.execution);
-        b.Tell(ExecutionHandedOver{start.execution});
+      const auto start = b.Only<StartAttempt>();
+      const auto number = static_cast<std::uint64_t>(start.attempt);
+      if (end.sent) {
+        b.Tell(AttemptConnected{start.attempt});
+        CHECK(b.Only<SendAttempt>().attempt == start.attempt);
+        b.Tell(AttemptSent{start.attempt});
       }
       const bool over = end.how == How::kGiveUp || end.how == How::kLate || end.how == How::kDistrust;
       switch (end.how) {
         case How::kEnded:
-          b.Tell(ExecutionEnded{start.execution, end.outcome, "", {}});
+          b.Tell(AttemptEnded{start.attempt, end.outcome, "", {}});
           break;
-        case How::kHandover:
-          b.Tell(TimerDue{{TimerKey::Wait::kHandover, number}}, 250 * kMillisecond);
+        case How::kSendDeadline:
+          b.Tell(TimerDue{{TimerKey::Wait::kSendDeadline, number}}, 250 * kMillisecond);
           break;
         case How::kGiveUp:
           b.Tell(TimerDue{{TimerKey::Wait::kGiveUp, number}}, kSecond);
@@ -440,14 +440,14 @@
           b.Tell(NameTableGood{0});
           break;
         case How::kLate:
-          b.Tell(ExecutionConnected{start.execution}, kSecond);
+          b.Tell(AttemptConnected{start.attempt}, kSecond);
           break;
       }
-      CHECK(b.core().counters().executions[static_cast<std::size_t>(end.outcome)] == 1);
+      CHECK(b.core().counters().attempts[static_cast<std::size_t>(end.outcome)] == 1);
       // Whatever may still go on at the instance is ended before anything else begins.
-      CHECK(b.Effects<StopExecution>().size() == (end.how == How::kEnded ? 0 : 1));
+      CHECK(b.Effects<StopAttempt>().size() == (end.how == How::kEnded ? 0 : 1));
       const bool again = !over && (end.never_ran || job_class != "once");
-      REQUIRE(b.Effects<StartExecution>().size() == (again ? 1 : 0));
+      REQUIRE(b.Effects<StartAttempt>().size() == (again ? 1 : 0));
       if (again)
         continue;
       const auto answer = b.Only<Answer>().answer;
@@ -470,11 +470,11 @@
   Bench b;
   const auto run = [&b](std::uint64_t client, const std::string& job_class, const std::string& id) {
     b.Ask(client, job_class, id);
-    if (b.Effects<StartExecution>().empty())
+    if (b.Effects<StartAttempt>().empty())
       return false;
-    const auto start = b.Only<StartExecution>();
-    b.Tell(ExecutionHandedOver{start.execution});
-    b.Tell(ExecutionEnded{start.execution, Outcome::kServed, "", {}});
+    const auto start = b.Only<StartAttempt>();
+    b.Tell(AttemptSent{start.attempt});
+    b.Tell(AttemptEnded{start.attempt, Outcome::kServed, "", {}});
     return true;
   };
   CHECK(run(1, "once", "x"));
@@ -494,20 +494,20 @@
   settings.dial_timeout = 2 * kSecond;
   Bench b(settings);
   b.Ask(1, "keyed", "z");
-  const auto first = b.Only<StartExecution>();
-  b.Tell(ExecutionHandedOver{first.execution});
-  b.Tell(ExecutionEnded{first.execution, Outcome::kServed, "", {}});
+  const auto first = b.Only<StartAttempt>();
+  b.Tell(AttemptSent{first.attempt});
+  b.Tell(AttemptEnded{first.attempt, Outcome::kServed, "", {}});
   b.Ask(2, "keyed", "z", 3 * kSecond);  // 2 ms into a window of a second
-  const auto second = b.Only<StartExecution>();
+  const auto second = b.Only<StartAttempt>();
   SUBCASE("the last moment") {
-    b.Tell(ExecutionConnected{second.execution}, 998 * kMillisecond - 1);
-    CHECK(b.Effects<HandOverExecution>().size() == 1);
+    b.Tell(AttemptConnected{second.attempt}, 998 * kMillisecond - 1);
+    CHECK(b.Effects<SendAttempt>().size() == 1);
   }
   SUBCASE("too late") {
-    b.Tell(ExecutionConnected{second.execution}, 998 * kMillisecond);
-    CHECK(b.Effects<HandOverExecution>().empty());
-    CHECK(b.Only<StopExecution>().execution == second.execution);
-    CHECK(b.Effects<StartExecution>().empty());
+    b.Tell(AttemptConnected{second.attempt}, 998 * kMillisecond);
+    CHECK(b.Effects<SendAttempt>().empty());
+    CHECK(b.Only<StopAttempt>().attempt == second.attempt);
+    CHECK(b.Effects<StartAttempt>().empty());
     CHECK(std::get<Failure>(b.Only<Answer>().answer).why == Failure::Why::kRepeat);  // as if it had come then
     CHECK(b.core().Quiet());
   }
@@ -518,17 +518,16 @@
   b.News(NameTableNews::Form::kWhole, {});
   b.Tell(NameTableNews{NameTableNews::Form::kChanges, Instance::Source::kSession, {Bench::Worker("w")}});
   b.Ask(1, "safe", "x");
-  const auto start = b.Only<StartExecution>();
-  b.Tell(ExecutionHandedOver{start.execution});
-  b.Tell(TimerDue{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(start.execution)}},
-         990 * kMillisecond);
+  const auto start = b.Only<StartAttempt>();
+  b.Tell(AttemptSent{start.attempt});
+  b.Tell(TimerDue{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(start.attempt)}}, 990 * kMillisecond);
   CHECK(b.Effects<Answer>().size() == 1);
   b.Ask(2, "safe", "x");
-  CHECK(b.Effects<StartExecution>().empty());
+  CHECK(b.Effects<StartAttempt>().empty());
   CHECK(std::get<Nack>(b.Only<Answer>().answer).retry_after > 0);
-  b.Tell(ExecutionReleased{start.execution});
+  b.Tell(AbandonedAttemptEnded{start.attempt});
   b.Ask(3, "safe", "x");
-  CHECK(b.Effects<StartExecution>().size() == 1);
+  CHECK(b.Effects<StartAttempt>().size() == 1);
 }
 
 TEST_CASE("a session's news does not pass for discovery's: the list is still asked for") {
@@ -552,7 +551,7 @@
   Bench b;
   b.Ask(1, "safe");
   b.Tell(ClientLeft{{ClientRef::Front::kHttp, 1}});
-  CHECK(b.Only<StopExecution>().execution == ExecutionNo{1});
+  CHECK(b.Only<StopAttempt>().attempt == AttemptId{1});
   const Counters& c = b.core().counters();
   CHECK(c.classes[0].taken == 1);
   CHECK(c.classes[0].left == 1);
@@ -598,18 +597,18 @@
 TEST_CASE("settings read anew rule the requests that come from then on; those before end by theirs") {
   Bench b;
   b.Ask(1, "safe");
-  const StartExecution first = b.Only<StartExecution>();
+  const StartAttempt first = b.Only<StartAttempt>();
   CoreSettings next = Settings();
   next.module.classes.erase(next.module.classes.begin());
   next.module.classes.push_back({.name = "new", .target = 400'000, .deadline = 5 * kSecond});
   b.Tell(SettingsChanged{next});
   b.Ask(2, "new");
-  const StartExecution second = b.Only<StartExecution>();
+  const StartAttempt second = b.Only<StartAttempt>();
   b.Ask(3, "safe");
   CHECK(std::holds_alternative<Failure>(b.Only<Answer>().answer));
-  for (const StartExecution& start : {second, first}) {
-    b.Tell(ExecutionHandedOver{start.execution});
-    b.Tell(ExecutionEnded{start.execution, Outcome::kServed, "ok", {}});
+  for (const StartAttempt& start : {second, first}) {
+    b.Tell(AttemptSent{start.attempt});
+    b.Tell(AttemptEnded{start.attempt, Outcome::kServed, "ok", {}});
     CHECK(std::get<Served>(b.Only<Answer>().answer).result == "ok");
   }
 }
--- a/tests/daemon/instance_link_test.cpp
+++ b/tests/daemon/instance_link_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr int kWaitMs = 20'000;  // for what the kernel does anyway: a machine this slow is out of order
-constexpr ExecutionNo kExecution{7};
+constexpr AttemptId kAttempt{7};
 
 class Socket {
  public:
@@ -50,20 +50,20 @@
   Scene() : base_(event_base_new()), link(base_.get(), kSecond, 8, this), listener_(Listen()) {}
 
   void Tell(Event event) override {
-    if (std::holds_alternative<ExecutionConnected>(event)) {
+    if (std::holds_alternative<AttemptConnected>(event)) {
       ++connected;
-      if (!hand_over)
+      if (!send)
         return;
-      link.HandOver({kExecution, Instance::Source::kDiscovery, kSecond});
+      link.Send({kAttempt, Instance::Source::kDiscovery, kSecond});
       if (once_written)
         once_written();
-    } else if (std::holds_alternative<ExecutionHandedOver>(event)) {
-      ++handed_over;
+    } else if (std::holds_alternative<AttemptSent>(event)) {
+      ++sent;
       if (stop_when_told)
-        link.Stop(kExecution);
+        link.Stop(kAttempt);
     } else {
       ++others;
-      if (auto* one = std::get_if<ExecutionEnded>(&event))
+      if (auto* one = std::get_if<AttemptEnded>(&event))
         ended = std::move(*one);
     }
   }
@@ -75,7 +75,7 @@
     job->job_class = "cobro";
     job->target = "/";
     job->body = body;
-    link.Start({kExecution, "w", "127.0.0.1:" + std::to_string(PortOf(listener_.fd())), {}, job, kSecond});
+    link.Start({kAttempt, "w", "127.0.0.1:" + std::to_string(PortOf(listener_.fd())), {}, job, kSecond});
     REQUIRE(listener_.WaitReadable());
   }
 
@@ -127,12 +127,12 @@
  public:
   InstanceLink link;
   bool stop_when_told = false;
-  bool hand_over = true;               // at once, as a core that has nothing against it
+  bool send = true;                    // at once, as a core that has nothing against it
   std::function<void()> once_written;  // called as soon as the link has been asked to write
   int connected = 0;
-  int handed_over = 0;
+  int sent = 0;
   int others = 0;
-  std::optional<ExecutionEnded> ended;
+  std::optional<AttemptEnded> ended;
 
  private:
   Socket listener_;
@@ -157,13 +157,13 @@
   scene.once_written = [&] {
     const Socket peer(scene.Accept());
     seen = Peek(peer);
-    told = scene.handed_over;
+    told = scene.sent;
   };
   scene.Turn([] {});
   REQUIRE(IsWhole(seen));
   CHECK(told == 1);
   scene.Turn([] {});
-  CHECK(scene.handed_over == 1);
+  CHECK(scene.sent == 1);
 }
 
 TEST_CASE("a request that the kernel takes in pieces is told as handed over with its last one, not before") {
@@ -172,7 +172,7 @@
   scene.Start(body);
   const Socket peer(scene.Accept());
   scene.Turn([] {});
-  CHECK(scene.handed_over == 0);
+  CHECK(scene.sent == 0);
   std::size_t head = 0, seen = 0, turns = 0;
   const auto is_whole = [&] { return head > 0 && seen == head + body.size(); };
   for (; !is_whole() && turns < 100'000; ++turns) {
@@ -184,7 +184,7 @@
           head = bytes.find("\r\n\r\n") + 4;
         seen += static_cast<std::size_t>(size);
       }
-      CHECK(scene.handed_over == (is_whole() ? 1 : 0));
+      CHECK(scene.sent == (is_whole() ? 1 : 0));
     });
   }
   REQUIRE(is_whole());
@@ -194,7 +194,7 @@
 TEST_CASE(
     "a connection that has come up sends nothing until it is handed over, and nothing if it is stopped") {
   Scene scene;
-  scene.hand_over = false;
+  scene.send = false;
   scene.Start();
   const Socket peer(scene.Accept());
   for (int i = 0; i < 5; ++i)
@@ -203,18 +203,18 @@
   char byte = 0;
   CHECK(recv(peer.fd(), &byte, 1, MSG_DONTWAIT) == -1);
   SUBCASE("handed over") {
-    scene.link.HandOver({kExecution, Instance::Source::kDiscovery, 123'456});
+    scene.link.Send({kAttempt, Instance::Source::kDiscovery, 123'456});
     const std::string seen = Peek(peer);
     CHECK(IsWhole(seen));
     CHECK(seen.find("\r\nReq-Deadline: 123456u\r\n") != std::string::npos);  // what is left by then
-    CHECK(scene.handed_over == 1);
+    CHECK(scene.sent == 1);
   }
   SUBCASE("stopped") {
-    scene.link.Stop(kExecution);
+    scene.link.Stop(kAttempt);
     for (int i = 0; i < 3; ++i)
       scene.Turn([] {});
     CHECK(Peek(peer).empty());
-    CHECK(scene.handed_over + scene.others == 0);
+    CHECK(scene.sent + scene.others == 0);
   }
 }
 
@@ -224,7 +224,7 @@
   Socket peer(scene.Accept());
   for (int i = 0; i < 3; ++i)
     scene.Turn([] {});
-  REQUIRE(scene.handed_over == 0);
+  REQUIRE(scene.sent == 0);
   peer.Close();
   REQUIRE(scene.TurnsUntilEnded());
   CHECK(scene.ended->outcome == Outcome::kConnectFailed);
@@ -237,8 +237,8 @@
   const Socket peer(scene.Accept());
   for (int i = 0; i < 3; ++i)
     scene.Turn([] {});
-  REQUIRE(scene.handed_over == 0);
-  scene.link.Stop(kExecution);
+  REQUIRE(scene.sent == 0);
+  scene.link.Stop(kAttempt);
   for (int i = 0; i < 3; ++i)
     scene.Turn([] {});
   std::string bytes(std::size_t{1} << 20, 0);
@@ -251,18 +251,18 @@
   }
   CHECK(seen > 0);
   CHECK(seen < body.size());
-  CHECK(scene.handed_over + scene.others == 0);
+  CHECK(scene.sent + scene.others == 0);
 }
 
 TEST_CASE("an execution stopped before its hand-over sends no byte") {
   Scene scene;
   scene.Start();
-  scene.link.Stop(kExecution);
+  scene.link.Stop(kAttempt);
   const Socket peer(scene.Accept());
   for (int i = 0; i < 3; ++i)
     scene.Turn([] {});
   CHECK(Peek(peer).empty());  // the end of the stream, and nothing before it
-  CHECK(scene.handed_over + scene.others == 0);
+  CHECK(scene.sent + scene.others == 0);
 }
 
 TEST_CASE("whoever is told of the hand-over may stop the execution there and then") {
@@ -273,7 +273,7 @@
   for (int i = 0; i < 3; ++i)
     scene.Turn([] {});
   CHECK(IsWhole(Peek(peer)));
-  CHECK(scene.handed_over == 1);
+  CHECK(scene.sent == 1);
   CHECK(scene.others == 0);
 }
 
@@ -344,7 +344,7 @@
     Scene scene;
     scene.Start();
     Socket peer(scene.Accept());
-    while (scene.handed_over == 0)
+    while (scene.sent == 0)
       scene.Turn([] {});
     REQUIRE(IsWhole(Peek(peer)));
     if (c.then != AnswerCase::Then::kReset) {  // else the request is left unread, and closing resets
@@ -374,7 +374,7 @@
     Scene scene;
     scene.Start();
     const Socket peer(scene.Accept());
-    while (scene.handed_over == 0)
+    while (scene.sent == 0)
       scene.Turn([] {});
     std::string bytes = "HTTP/1.1 200 OK\r\n\r\n";
     while (bytes.size() < (std::size_t{4} << 20))
@@ -391,7 +391,7 @@
     }
     CHECK(most < before + (std::size_t{1} << 20));
     CHECK_FALSE(scene.ended);
-    scene.link.Stop(kExecution);
+    scene.link.Stop(kAttempt);
     for (int i = 0; i < 3; ++i)
       scene.Turn([] {});
     CHECK(peer.WaitReadable());  // its end
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -114,13 +114,13 @@
   adopted.may_have_run = may_have_run;
   std::vector<Effect> effects;
   reducer.Reduce(kSecond, adopted, &effects);
-  ExecutionNo execution{};
+  AttemptId attempt{};
   for (const Effect& e : effects) {
-    if (const auto* resume = std::get_if<ResumeExecution>(&e))
-      execution = resume->execution;
+    if (const auto* resume = std::get_if<ResumeAttempt>(&e))
+      attempt = resume->attempt;
   }
   effects.clear();
-  reducer.Reduce(kSecond + 1, ExecutionEnded{execution, outcome, "ran", {}}, &effects);
+  reducer.Reduce(kSecond + 1, AttemptEnded{attempt, outcome, "ran", {}}, &effects);
   CHECK(reducer.Quiet());
   for (const Effect& e : effects) {
     if (const auto* answer = std::get_if<Answer>(&e))
--- a/tools/fleet_table/totals.cpp
+++ b/tools/fleet_table/totals.cpp
@@ -71,7 +71,7 @@
 void Totals::Started(Node* node, const LogLine& line) {
   Row* row = RowAt(line.at);
   const std::string instance(line.Text("instance")), id(line.Text("id"));
-  node->executions[std::string(line.Text("execution"))] = {
+  node->open_attempts[std::string(line.Text("execution"))] = {
       id, static_cast<std::int64_t>(std::floor(line.at / settings_.every)), instance};
   if (node->listed >= 0.0) {
     row->list_age_sum += line.at - node->listed;
@@ -88,14 +88,14 @@
 }
 
 void Totals::Ended(Node* node, const LogLine& line, const std::string& outcome) {
-  const auto found = node->executions.find(std::string(line.Text("execution")));
-  if (found == node->executions.end())
+  const auto found = node->open_attempts.find(std::string(line.Text("execution")));
+  if (found == node->open_attempts.end())
     return;  // the first end stands
   ++RowAt(found->second.row * settings_.every)->attempts[outcome];
   const auto client = node->client_of.find(found->second.request);
   if (client != node->client_of.end())
     node->by_client.at(client->second).at.clear();
-  node->executions.erase(found);
+  node->open_attempts.erase(found);
 }
 
 void Totals::Answered(Node* node, const LogLine& line, std::string what) {
@@ -110,13 +110,13 @@
 }
 
 void Totals::CloseAll(const std::string& name, Node* node, bool restarted) {
-  for (const auto& [number, execution] : node->executions)
-    ++RowAt(execution.row * settings_.every)->attempts["open"];
+  for (const auto& [number, attempt] : node->open_attempts)
+    ++RowAt(attempt.row * settings_.every)->attempts["open"];
   for (const auto& [client, r] : node->by_client) {
     std::string station = !r.at.empty() ? "at " + r.at : r.sent > 0 ? "between attempts" : "unsent";
     table_.lost.push_back({name, r.id, r.job_class, r.taken, station + (restarted ? "; restarted" : "")});
   }
-  node->executions.clear();
+  node->open_attempts.clear();
   node->by_client.clear();
   node->client_of.clear();
 }
--- a/tools/fleet_table/totals.h
+++ b/tools/fleet_table/totals.h
@@ -63,7 +63,7 @@
   Table Result();  // what is still open counts as open or lost
 
  private:
-  struct Execution {
+  struct Attempt {
     std::string request;
     std::int64_t row = 0;
     std::string instance;
@@ -77,7 +77,7 @@
   struct Node {
     std::unordered_map<std::string, Request> by_client;
     std::unordered_map<std::string, std::string> client_of;  // by id
-    std::unordered_map<std::string, Execution> executions;
+    std::unordered_map<std::string, Attempt> open_attempts;
     std::unordered_map<std::string, std::string> started;  // the start of each worker that this node knows of
     double listed = -1.0;                                  // when discovery last answered
     int starts = 0;
