--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -24,7 +24,7 @@
   }
   AddCounter("backend_calls", counters.attempts_sent, &text);
   AddGauge("inflight", counters.waiting_clients, &text);
-  AddGauge("hosts_listed", counters.ready_instances + counters.draining_instances, &text);
+  AddGauge("hosts_listed", counters.ready_workers + counters.draining_workers, &text);
   AddGauge("hosts_down", avoided_workers, &text);
   AddCounter("reconfig_ok", counters.reconfigurations, &text);
   AddCounter("reconfig_failed", counters.reconfigurations_refused, &text);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -459,7 +459,7 @@
   if (const Field known = root["known"]; known.present()) {
     try {
       NameTableMessage message = DecodeNameTable(known.json());
-      c.known = std::move(message.instances);
+      c.known = std::move(message.workers);
       c.known_version = message.version;
     } catch (const BadMessage& e) {
       known.Bad(e.what());
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -59,7 +59,7 @@
   std::uint64_t seed = 0;
   int sockets = 1024;
   int memory_mb = 128;
-  std::vector<Instance> known;
+  std::vector<WorkerEndpoint> known;
   std::uint64_t known_version = 0;
   dispatch::Settings module;
   std::string module_text;  // the settings as they were written, to tell whether they changed
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -124,10 +124,10 @@
       const auto running =
           std::ranges::find_if(r.attempts, [this](AttemptId x) { return attempts_.contains(x); });
       const Attempt& x = attempts_.at(*running);
-      if (!x.sent || x.source != Instance::Source::kDiscovery)
+      if (!x.sent || x.source != WorkerEndpoint::Source::kDiscovery)
         continue;
       in_hand.running = *running;
-      in_hand.worker = x.instance;
+      in_hand.worker = x.worker;
     } else if (!r.attempts.empty()) {
       continue;  // what its attempts came to is this process's to weigh
     }
@@ -176,7 +176,7 @@
   by_client_[r.client] = number;
   ++counters_.classes[r.counter].taken;
   attempts_[attempt] = {.request = number,
-                        .instance = std::move(e.worker),
+                        .worker = std::move(e.worker),
                         .started_at = now_,
                         .start_by = now_,
                         .give_up_at = r.deadline,
@@ -285,7 +285,7 @@
   if (found->second.start_by < found->second.give_up_at && now_ >= found->second.start_by)
     return End(number, Outcome::kNotSent, "", {}, true);
   // An instance that fetches and did not is busy, not unreachable.
-  const bool fetches = found->second.source == Instance::Source::kSession;
+  const bool fetches = found->second.source == WorkerEndpoint::Source::kSession;
   End(number, fetches ? Outcome::kFull : Outcome::kConnectFailed, "", {}, true);
 }
 
@@ -293,33 +293,34 @@
   ++counters_.name_table_news;
   using Form = NameTableNews::Form;
   const bool whole = e.form == Form::kWhole || e.form == Form::kRemembered;
-  if (e.source == Instance::Source::kDiscovery && e.form != Form::kRemembered)
+  if (e.source == WorkerEndpoint::Source::kDiscovery && e.form != Form::kRemembered)
     heard_ = true;
   if (whole) {
     for (auto& [name, known] : name_table_) {
       if (known.source == e.source)
-        known.state = Instance::State::kGone;
+        known.state = WorkerEndpoint::State::kGone;
     }
   }
   WorkerList changes{WorkerList::Form::kDelta, {}};
-  for (Instance& entry : e.instances) {
+  for (WorkerEndpoint& entry : e.workers) {
 #ifdef ALDERSILL_PLANT_DEAF_TO_DRAINS  // planted where a search must find it
-    entry.state = Instance::State::kReady;
+    entry.state = WorkerEndpoint::State::kReady;
 #endif
     entry.source = e.source;
     changes.workers.push_back(ModuleEntry(entry));
     if (ever_listed_.size() < kMostEverListed)
       ever_listed_.insert(entry.name);
-    Instance& known = name_table_[entry.name];
+    WorkerEndpoint& known = name_table_[entry.name];
     if (entry.address.empty())
       entry.address = known.address;
     known = std::move(entry);
   }
-  std::erase_if(name_table_, [&](const auto& named) { return named.second.state == Instance::State::kGone; });
-  counters_.ready_instances = counters_.draining_instances = 0;
+  std::erase_if(name_table_,
+                [&](const auto& named) { return named.second.state == WorkerEndpoint::State::kGone; });
+  counters_.ready_workers = counters_.draining_workers = 0;
   for (const auto& [name, known] : name_table_)
-    ++(known.state == Instance::State::kReady ? counters_.ready_instances : counters_.draining_instances);
-  if (e.source == Instance::Source::kSession || e.form == Form::kLeftChanges) {
+    ++(known.state == WorkerEndpoint::State::kReady ? counters_.ready_workers : counters_.draining_workers);
+  if (e.source == WorkerEndpoint::Source::kSession || e.form == Form::kLeftChanges) {
     // As a list of old: any other would tell the module that it is subscribed, and it would never ask
     // discovery.
     TellModules(WholeList(WorkerList::Form::kCached));
@@ -372,14 +373,14 @@
   TellModules(WholeList(WorkerList::Form::kCached));
   std::vector<AttemptId> late;
   for (const auto& [number, x] : attempts_) {
-    if (x.source == Instance::Source::kDiscovery)
+    if (x.source == WorkerEndpoint::Source::kDiscovery)
       late.push_back(number);
   }
   Withdraw(late);
 }
 
-void Reducer::On(ProbeAnswered&& e) {
-  TellModules(dispatch::ProbeDone{e.instance, e.outcome, e.elapsed, e.report});
+void Reducer::On(ProbeCompleted&& e) {
+  TellModules(dispatch::ProbeDone{e.worker, e.outcome, e.elapsed, e.report});
 }
 
 void Reducer::On(SettingsRefused&&) { ++counters_.reconfigurations_refused; }
@@ -428,12 +429,12 @@
   }
   ++r.open;
   ++counters_.attempts_started;
-  const Instance& to = known->second;
+  const WorkerEndpoint& to = known->second;
   const Micros until = a.give_up_at > 0 ? std::min(a.give_up_at, r.deadline) : r.deadline;
   const Micros start_by = std::min(a.start_by > 0 ? std::min(a.start_by, until) : until, r.start_by);
   attempts_[number] =
       Attempt{request, attempt_number, a.worker, to.source, to.started, now_, start_by, until, false, 0};
-  const bool fetches = to.source == Instance::Source::kSession;
+  const bool fetches = to.source == WorkerEndpoint::Source::kSession;
   Ask(SetTimer{
       {TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(number)},
       std::clamp<Micros>(start_by - now_, 1, fetches ? settings_.fetch_patience : settings_.dial_timeout)});
@@ -460,9 +461,9 @@
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(number);
   const bool tried = found != requests_.end() && !found->second.attempts.empty();
-  Finish(number, Nack{tried                            ? Nack::Why::kAfterAttempts
-                      : counters_.ready_instances == 0 ? Nack::Why::kNoInstance
-                                                       : Nack::Why::kNothingSent,
+  Finish(number, Nack{tried                          ? Nack::Why::kAfterAttempts
+                      : counters_.ready_workers == 0 ? Nack::Why::kNoWorker
+                                                     : Nack::Why::kNothingSent,
                       wait});
   ForgetIfDone(number);
 }
@@ -481,8 +482,8 @@
 
 void Reducer::Do(const dispatch::Probe& a) {
   const auto known = name_table_.find(a.worker);
-  if (known != name_table_.end() && known->second.source == Instance::Source::kDiscovery)
-    Ask(ProbeInstance{a.worker, known->second.address});
+  if (known != name_table_.end() && known->second.source == WorkerEndpoint::Source::kDiscovery)
+    Ask(ProbeWorker{a.worker, known->second.address});
 }
 
 void Reducer::Do(const dispatch::SubscribeList&) {
@@ -496,17 +497,18 @@
 
 // ---- Helpers ----
 
-dispatch::WorkerEntry Reducer::ModuleEntry(const Instance& i) const {
-  const bool unsure = i.state == Instance::State::kReady && !MayGetNew(i);
+dispatch::WorkerEntry Reducer::ModuleEntry(const WorkerEndpoint& i) const {
+  const bool unsure = i.state == WorkerEndpoint::State::kReady && !MayGetNew(i);
 #ifdef ALDERSILL_PLANT_COLD_FOR_WARM  // planted where a search must find it
-  return {i.name, unsure ? Instance::State::kDraining : i.state, i.weight, i.kind, i.zone, i.cell, 0};
+  return {i.name, unsure ? WorkerEndpoint::State::kDraining : i.state, i.weight, i.kind, i.zone, i.cell, 0};
 #endif
-  return {i.name, unsure ? Instance::State::kDraining : i.state, i.weight, i.kind, i.zone, i.cell, i.started};
+  return {i.name,   unsure ? WorkerEndpoint::State::kDraining : i.state, i.weight, i.kind, i.zone, i.cell,
+          i.started};
 }
 
-bool Reducer::MayGetNew(const Instance& i) const {
-  return i.state == Instance::State::kReady && !banned_.contains(i.name) &&
-         !(distrusted_ && i.source == Instance::Source::kDiscovery);
+bool Reducer::MayGetNew(const WorkerEndpoint& i) const {
+  return i.state == WorkerEndpoint::State::kReady && !banned_.contains(i.name) &&
+         !(distrusted_ && i.source == WorkerEndpoint::Source::kDiscovery);
 }
 
 std::size_t Reducer::AvoidedWorkers() const {
@@ -517,9 +519,8 @@
 }
 
 bool Reducer::MayStillGo(const Attempt& x) const {
-  const auto known = name_table_.find(x.instance);
-  return known != name_table_.end() && MayGetNew(known->second) &&
-         known->second.started <= x.instance_started;
+  const auto known = name_table_.find(x.worker);
+  return known != name_table_.end() && MayGetNew(known->second) && known->second.started <= x.worker_started;
 }
 
 void Reducer::End(AttemptId number, Outcome outcome, std::string result, LoadReport report, bool stop) {
@@ -543,7 +544,7 @@
 #endif
   Request& r = requests_.at(x.request);
   // A connection to an instance can be closed; a session that has fetched goes on with it.
-  if (stop && x.sent && x.source == Instance::Source::kSession && r.job->guard_repeats) {
+  if (stop && x.sent && x.source == WorkerEndpoint::Source::kSession && r.job->guard_repeats) {
     repeats_.MarkAbandoned(r.job->id);
     abandoned_attempts_.emplace(number, r.job->id);
   }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -28,7 +28,7 @@
 
   const Counters& counters() const { return counters_; }
   bool Quiet() const { return requests_.empty() && attempts_.empty(); }
-  const std::map<std::string, Instance>& name_table() const { return name_table_; }
+  const std::map<std::string, WorkerEndpoint>& name_table() const { return name_table_; }
   // Whether the worker has been known since the start, or is banned.
   bool EverListed(const std::string& worker) const {
     return ever_listed_.contains(worker) || name_table_.contains(worker) || banned_.contains(worker);
@@ -62,9 +62,9 @@
   struct Attempt {
     std::uint64_t request = 0;
     int attempt_number = 0;
-    std::string instance;
-    Instance::Source source = Instance::Source::kDiscovery;
-    Micros instance_started = 0;  // as told when it was sent
+    std::string worker;
+    WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
+    Micros worker_started = 0;  // as told when it was sent
     Micros started_at = 0;
     Micros start_by = 0;  // no byte goes out from then on
     Micros give_up_at = 0;
@@ -86,7 +86,7 @@
   void On(NameTableNews&& e);
   void On(NameTableFailed&& e);
   void On(NameTableGood&& e);
-  void On(ProbeAnswered&& e);
+  void On(ProbeCompleted&& e);
   void On(SettingsChanged&& e);
   void On(SettingsRefused&& e);
   void On(WorkerBanned&& e);
@@ -124,8 +124,8 @@
   // Ends what is decided but not handed over and may not go to its instance any more.
   void WithdrawLate();
   // What the module is told of an instance: one that cannot be vouched for wants nothing new.
-  dispatch::WorkerEntry ModuleEntry(const Instance& i) const;
-  bool MayGetNew(const Instance& i) const;
+  dispatch::WorkerEntry ModuleEntry(const WorkerEndpoint& i) const;
+  bool MayGetNew(const WorkerEndpoint& i) const;
   // Whether an execution that is not handed over may still go to its instance. Not to one that has been
   // started anew meanwhile: it is cold, and what cold ones may get is the module's to say.
   bool MayStillGo(const Attempt& x) const;
@@ -157,7 +157,7 @@
   std::map<AttemptId, Attempt> attempts_;
   // Given up on, yet out at instances that cannot be told to stop, with the ids of their jobs.
   std::map<AttemptId, std::string> abandoned_attempts_;
-  std::map<std::string, Instance> name_table_;
+  std::map<std::string, WorkerEndpoint> name_table_;
   std::set<std::string> ever_listed_;  // kMostEverListed at most
   std::set<std::string> banned_;
   struct Class {
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -49,7 +49,7 @@
 };
 
 // An entry of the name table.
-struct Instance {
+struct WorkerEndpoint {
   using State = dispatch::WorkerEntry::State;
   enum class Source { kDiscovery, kSession };  // told by discovery, or by a worker's own session here
   std::string name;
@@ -149,8 +149,8 @@
 struct NameTableNews {
   // kRemembered: a whole list, kLeftChanges: changes, of a source that is not watched (any more).
   enum class Form { kChanges, kWhole, kRemembered, kLeftChanges } form = Form::kWhole;
-  Instance::Source source = Instance::Source::kDiscovery;
-  std::vector<Instance> instances;
+  WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
+  std::vector<WorkerEndpoint> workers;
 };
 struct NameTableFailed {};
 // For so long from now discovery's list may be acted on; not above 0: what it does not tell any more may
@@ -159,8 +159,8 @@
   static constexpr Micros kForEver = Micros{1} << 60;
   Micros left = 0;
 };
-struct ProbeAnswered {
-  std::string instance;
+struct ProbeCompleted {
+  std::string worker;
   Outcome outcome = Outcome::kServed;
   Micros elapsed = 0;
   LoadReport report;
@@ -168,15 +168,15 @@
 using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestTurnedAway, ClientLeft,
                            AttemptConnected, AttemptSent, AttemptProgress, AttemptEnded,
                            AbandonedAttemptEnded, TimerDue, NameTableNews, NameTableFailed, NameTableGood,
-                           ProbeAnswered, SettingsChanged, SettingsRefused, WorkerBanned>;
+                           ProbeCompleted, SettingsChanged, SettingsRefused, WorkerBanned>;
 
 // ---- Effects ----
 
 struct StartAttempt {
   AttemptId attempt{};
-  std::string instance;
+  std::string worker;
   std::string address;
-  Instance::Source source = Instance::Source::kDiscovery;
+  WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
   std::shared_ptr<const Job> job;
   Micros time_left = 0;
   ClientRef client{};  // whom it is for
@@ -188,19 +188,19 @@
 };
 struct SendAttempt {  // one that has connected: its first byte may go out now, and at no later time
   AttemptId attempt{};
-  Instance::Source source = Instance::Source::kDiscovery;
+  WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
   Micros time_left = 0;
 };
 struct StopAttempt {
   AttemptId attempt{};
-  Instance::Source source = Instance::Source::kDiscovery;
+  WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
 };
 struct Served {
   std::string result;
 };
 struct Nack {  // trying again is harmless, and welcome after this long
   // What the core knows of the refusal; why the module holds a job back is the module's own.
-  enum class Why { kNothingSent, kNoInstance, kAfterAttempts, kRepeatOut } why = Why::kNothingSent;
+  enum class Why { kNothingSent, kNoWorker, kAfterAttempts, kRepeatOut } why = Why::kNothingSent;
   Micros retry_after = 0;
 };
 struct Failure {
@@ -218,8 +218,8 @@
 struct ClearTimer {
   TimerKey key;
 };
-struct ProbeInstance {
-  std::string instance;
+struct ProbeWorker {
+  std::string worker;
   std::string address;
 };
 struct WatchNameTable {};
@@ -227,7 +227,7 @@
   std::string text;
 };
 using Effect = std::variant<StartAttempt, ResumeAttempt, SendAttempt, StopAttempt, Answer, SetTimer,
-                            ClearTimer, ProbeInstance, WatchNameTable, LogLine>;
+                            ClearTimer, ProbeWorker, WatchNameTable, LogLine>;
 
 // A job as it could be handed to another process of this dispatcher.
 struct JobInHand {
--- a/src/daemon/cluster_part.cpp
+++ b/src/daemon/cluster_part.cpp
@@ -60,7 +60,7 @@
                                                c.seed ^ static_cast<std::uint64_t>(around_.now()));
     // The module's own wish for a probe is met by what all instances' probes bring.
     if (duties_.probing)
-      around_.offers->probe = [](const ProbeInstance&) {};
+      around_.offers->probe = [](const ProbeWorker&) {};
   }
 
   void Announce() override {
@@ -134,12 +134,12 @@
 
   void Do(cluster::Send&& e) { transport_->Send(e.address, e.packet); }
   void Do(cluster::Probe&& e) {
-    around_.offers->probe_for({e.worker, e.address}, [this, number = e.number](ProbeAnswered answered) {
+    around_.offers->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
       Tell(cluster::Probed{number, answered.outcome, answered.elapsed, answered.report});
     });
   }
   void Do(cluster::Result&& e) {
-    around_.sink->Tell(ProbeAnswered{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
+    around_.sink->Tell(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
   }
   void Do(membership::MemberNews&& e) {
     using What = membership::MemberNews::What;
@@ -160,9 +160,10 @@
     if (std::exchange(seen_news_, news) == news)
       return;
     cluster::Workers workers;
-    for (const auto& [name, instance] : around_.reducer->name_table()) {
-      if (instance.source == Instance::Source::kDiscovery && instance.state == Instance::State::kReady)
-        workers.all.emplace_back(name, instance.address);
+    for (const auto& [name, worker] : around_.reducer->name_table()) {
+      if (worker.source == WorkerEndpoint::Source::kDiscovery &&
+          worker.state == WorkerEndpoint::State::kReady)
+        workers.all.emplace_back(name, worker.address);
     }
     Tell(std::move(workers));
   }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -71,7 +71,7 @@
     evsignal_add(signals_.back().get(), nullptr);
   }
   quiet_timer_ = std::make_unique<Timer>(base_.get(), [this] { EndIfQuiet(); });
-  Tell(NameTableNews{NameTableNews::Form::kRemembered, Instance::Source::kDiscovery, config_.known});
+  Tell(NameTableNews{NameTableNews::Form::kRemembered, WorkerEndpoint::Source::kDiscovery, config_.known});
   for (const auto& part : parts_)
     part->Announce();
   Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"remembered", config_.known.size()}});
@@ -129,7 +129,7 @@
   if (auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)])
     door->Reply(e.client.number, e.answer);
 }
-void Daemon::Do(const ProbeInstance& e) {
+void Daemon::Do(const ProbeWorker& e) {
   if (offers_.probe)
     offers_.probe(e);
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -32,7 +32,7 @@
   void Do(const Answer& e);
   void Do(const SetTimer& e);
   void Do(const ClearTimer& e);
-  void Do(const ProbeInstance& e);
+  void Do(const ProbeWorker& e);
   void Do(const WatchNameTable& e);
   void Do(const LogLine& e);
 
--- a/src/daemon/faktory_part.cpp
+++ b/src/daemon/faktory_part.cpp
@@ -80,7 +80,7 @@
     return std::make_unique<faktory::Front>(around_.base, ForFaktory(c), around_.sink);
   }
   void Offer() {
-    around_.offers->attempt_transports[static_cast<std::size_t>(Instance::Source::kSession)] = this;
+    around_.offers->attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kSession)] = this;
     around_.offers->doors[static_cast<std::size_t>(ClientRef::Front::kFaktory)] = this;
   }
 
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-JobTransfer::JobTransfer(const Surroundings& around, ClientFront* clients, InstanceLink* workers)
+JobTransfer::JobTransfer(const Surroundings& around, ClientFront* clients, WorkerClient* workers)
     : around_(around), clients_(clients), workers_(workers), again_(around.base, [this] { SendAll(); }) {}
 
 void JobTransfer::ReceiveAt(const std::string& path) {
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -12,7 +12,7 @@
 
 #include "daemon/part.h"
 #include "http/client_front.h"
-#include "http/instance_link.h"
+#include "http/worker_client.h"
 #include "upgrade/descriptor_channel.h"
 #include "upgrade/job_codec.h"
 
@@ -20,7 +20,7 @@
 
 class JobTransfer {
  public:
-  JobTransfer(const Surroundings& around, ClientFront* clients, InstanceLink* workers);
+  JobTransfer(const Surroundings& around, ClientFront* clients, WorkerClient* workers);
 
   // Where jobs come to this process. Throws std::runtime_error if it cannot listen there.
   void ReceiveAt(const std::string& path);
@@ -41,7 +41,7 @@
 
   const Surroundings around_;
   ClientFront* clients_;
-  InstanceLink* workers_;
+  WorkerClient* workers_;
   std::unique_ptr<upgrade::DescriptorReceiver> receiver_;
   std::unique_ptr<upgrade::DescriptorSender> sender_;
   Timer again_;
--- a/src/daemon/part.h
+++ b/src/daemon/part.h
@@ -41,9 +41,9 @@
 struct Offers {
   std::array<AttemptTransport*, 2> attempt_transports{};  // by Instance::Source
   std::array<ClientDoor*, 2> doors{};                     // by ClientRef::Front
-  std::function<void(const ProbeInstance&)> probe;
+  std::function<void(const ProbeWorker&)> probe;
   // The same for a part's own sake: what comes of it goes to the function alone, once.
-  std::function<void(const ProbeInstance&, std::function<void(ProbeAnswered)>)> probe_for;
+  std::function<void(const ProbeWorker&, std::function<void(ProbeCompleted)>)> probe_for;
   std::function<void()> watch_name_table;
   // Why this process takes no clients, in one line; empty where it does.
   std::function<std::string()> why_not_ready;
@@ -106,7 +106,7 @@
 // How the descriptors are shared out among the parts that hold connections.
 struct Shares {
   explicit Shares(const Config& config);
-  int sessions = 0, clients = 0, instances = 0;
+  int sessions = 0, clients = 0, workers = 0;
 };
 
 }  // namespace aldersill
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -11,7 +11,7 @@
 Shares::Shares(const Config& config) {
   const int all = config.sockets - kReserved;
   sessions = config.own.faktory.enabled ? all / 4 : 0;
-  clients = instances = (all - sessions) / 2;
+  clients = workers = (all - sessions) / 2;
 }
 
 std::vector<std::unique_ptr<Part>> MakeParts(const Surroundings& surroundings) {
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -8,7 +8,7 @@
 #include "daemon/parts.h"
 #include "http/client_front.h"
 #include "http/discovery.h"
-#include "http/instance_link.h"
+#include "http/worker_client.h"
 #include "log/log.h"
 
 namespace aldersill {
@@ -39,9 +39,9 @@
 }
 
 // The remembered list is at least as young as the last start that it tells, whenever it was held.
-Micros RememberedAt(const std::vector<Instance>& known, Micros now) {
+Micros RememberedAt(const std::vector<WorkerEndpoint>& known, Micros now) {
   Micros at = 0;
-  for (const Instance& worker : known) {
+  for (const WorkerEndpoint& worker : known) {
     if (worker.started <= now)
       at = std::max(at, worker.started);
   }
@@ -59,8 +59,7 @@
   explicit PlatformPart(const Surroundings& around) : around_(around) {}
 
   void Start(const Config& c) override {
-    instances_ =
-        std::make_unique<InstanceLink>(around_.base, c.dial_timeout, Shares(c).instances, around_.sink);
+    workers_ = std::make_unique<WorkerClient>(around_.base, c.dial_timeout, Shares(c).workers, around_.sink);
     if (c.discovery)
       discovery_ = std::make_unique<Discovery>(around_.base, *c.discovery, c.known_version, ClockAtStart(c),
                                                around_.sink);
@@ -74,7 +73,7 @@
       processes_ = processes;
       ApplyLimits(nullptr);
     };
-    transfer_ = std::make_unique<JobTransfer>(around_, clients_.get(), instances_.get());
+    transfer_ = std::make_unique<JobTransfer>(around_, clients_.get(), workers_.get());
     around_.offers->resume = [this](const ResumeAttempt& resume) { transfer_->Resume(resume); };
     ReceiveJobs();
     // Beside another process nobody is served worse for waiting until this one can serve.
@@ -85,16 +84,16 @@
     listen_ = c.listen;
     discovered_at_ = c.discovery;
     Offers& offers = *around_.offers;
-    offers.attempt_transports[static_cast<std::size_t>(Instance::Source::kDiscovery)] = this;
+    offers.attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kDiscovery)] = this;
     offers.doors[static_cast<std::size_t>(ClientRef::Front::kHttp)] = this;
     offers.watch_name_table = [this] {
       if (discovery_ != nullptr)
         discovery_->Watch();
     };
     offers.why_not_ready = [this] { return WhyNotReady(); };
-    offers.probe = [this](const ProbeInstance& probe) { instances_->Probe(probe); };
-    offers.probe_for = [this](const ProbeInstance& probe, std::function<void(ProbeAnswered)> done) {
-      instances_->Probe(probe, std::move(done));
+    offers.probe = [this](const ProbeWorker& probe) { workers_->Probe(probe); };
+    offers.probe_for = [this](const ProbeWorker& probe, std::function<void(ProbeCompleted)> done) {
+      workers_->Probe(probe, std::move(done));
     };
   }
 
@@ -103,9 +102,9 @@
         {{"name", "http"}, {"address", listen_.host + ":" + std::to_string(clients_->port())}});
   }
 
-  void Start(const StartAttempt& e) override { instances_->Start(e); }
-  void Send(const SendAttempt& e) override { instances_->Send(e); }
-  void Stop(AttemptId attempt) override { instances_->Stop(attempt); }
+  void Start(const StartAttempt& e) override { workers_->Start(e); }
+  void Send(const SendAttempt& e) override { workers_->Send(e); }
+  void Stop(AttemptId attempt) override { workers_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { clients_->Reply(client, answer); }
   bool HasLeft(std::uint64_t client) const override { return clients_->HasLeft(client); }
 
@@ -166,14 +165,14 @@
   struct Limits {
     ClientFrontSettings clients;
     Micros dial_timeout = 0;
-    int instances = 0;
+    int workers = 0;
   };
-  static Limits LimitsOf(const Config& c) { return {ForClients(c), c.dial_timeout, Shares(c).instances}; }
+  static Limits LimitsOf(const Config& c) { return {ForClients(c), c.dial_timeout, Shares(c).workers}; }
   void ApplyLimits(EventPtr<evconnlistener> listener) {
     ClientFrontSettings clients = limits_.clients;
     clients.most_connections /= static_cast<std::size_t>(processes_);
     clients_->Adopt(std::move(clients), std::move(listener));
-    instances_->Adopt(limits_.dial_timeout, limits_.instances / processes_);
+    workers_->Adopt(limits_.dial_timeout, limits_.workers / processes_);
   }
   // Where that fails, only what is in hand at an upgrade is worse off.
   void ReceiveJobs() {
@@ -201,7 +200,7 @@
   Timer ready_timer_{around_.base, [this] { ListenOnceReady(); }};
   Limits limits_;
   int processes_ = 1;
-  std::unique_ptr<InstanceLink> instances_;
+  std::unique_ptr<WorkerClient> workers_;
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<ClientFront> clients_;
   std::unique_ptr<JobTransfer> transfer_;
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -351,9 +351,9 @@
   Worker& w = workers_[name];
   if (w.silence == nullptr) {
     // A start of long ago: nobody can push a worker over that is only given what it fetches.
-    w.instance.name = w.instance.address = name;
-    w.instance.zone = hello.zone;
-    w.instance.kind = hello.kind;
+    w.endpoint.name = w.endpoint.address = name;
+    w.endpoint.zone = hello.zone;
+    w.endpoint.kind = hello.kind;
     w.silence = std::make_unique<Timer>(base_, [this, name] {
       Log(LogLevel::kWarning, "faktory_worker_gone",
           {{"worker", name}, {"why", workers_.at(name).sessions > 0 ? "silent" : "not connected"}});
@@ -363,21 +363,22 @@
   w.silence->Set(settings_.silence);
   if (w.sessions++ > 0)
     return;
-  w.instance.state = w.quiet ? Instance::State::kDraining : Instance::State::kReady;
+  w.endpoint.state = w.quiet ? WorkerEndpoint::State::kDraining : WorkerEndpoint::State::kReady;
   TellState(w);
 }
 
 void Front::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
 
 void Front::TellState(const Worker& worker) {
-  sink_->Tell(NameTableNews{NameTableNews::Form::kChanges, Instance::Source::kSession, {worker.instance}});
+  sink_->Tell(
+      NameTableNews{NameTableNews::Form::kChanges, WorkerEndpoint::Source::kSession, {worker.endpoint}});
 }
 
 void Front::TellFree(const Worker& worker) {
   LoadReport report;
   report.free_slots =
       static_cast<double>(worker.fetching.size()) - static_cast<double>(worker.waiting.size());
-  sink_->Tell(ProbeAnswered{worker.instance.name, Outcome::kServed, 0, report});
+  sink_->Tell(ProbeCompleted{worker.endpoint.name, Outcome::kServed, 0, report});
 }
 
 void Front::Park(Session* session) {
@@ -389,7 +390,7 @@
     w.fetching.pop_back();
     return Deliver(&w, session, next);
   }
-  if (w.instance.state == Instance::State::kReady)
+  if (w.endpoint.state == WorkerEndpoint::State::kReady)
     TellFree(w);
 }
 
@@ -400,13 +401,13 @@
 }
 
 void Front::Start(const StartAttempt& start) {
-  const auto found = workers_.find(start.instance);
+  const auto found = workers_.find(start.worker);
   if (found == workers_.end()) {
     sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
     return;
   }
   Worker& w = found->second;
-  attempts_[start.attempt] = start.instance;
+  attempts_[start.attempt] = start.worker;
   if (w.fetching.empty()) {
     w.waiting.push_back(start);  // the core bounds this wait
     return;
@@ -471,7 +472,7 @@
   Worker& w = workers_.at(wid);
   if (beat.state.empty() || std::exchange(w.quiet, true))
     return SimpleString("OK");
-  w.instance.state = Instance::State::kDraining;
+  w.endpoint.state = WorkerEndpoint::State::kDraining;
   TellState(w);
   return SimpleString("OK");
 }
@@ -494,7 +495,7 @@
   }
   if (w.sessions == 0) {
     w.silence->Set(settings_.return_within);
-    w.instance.state = Instance::State::kDraining;
+    w.endpoint.state = WorkerEndpoint::State::kDraining;
     TellState(w);
   }
   for (const AttemptId attempt : lost) {
@@ -525,7 +526,7 @@
     lost.push_back(held.attempt);
   for (const StartAttempt& start : gone.waiting)
     unsent.push_back(start.attempt);
-  gone.instance.state = Instance::State::kGone;
+  gone.endpoint.state = WorkerEndpoint::State::kGone;
   // The name table first: what is lost here must not be sent here again.
   TellState(gone);
   Release(gone);
--- a/src/faktory/front.h
+++ b/src/faktory/front.h
@@ -50,7 +50,7 @@
  private:
   class Session;
   struct Worker {
-    Instance instance;
+    WorkerEndpoint endpoint;
     int sessions = 0;
     bool quiet = false;                // it said so
     std::deque<Session*> fetching;     // parked FETCHes, the longest waiting first
--- a/src/http/discovery.cpp
+++ b/src/http/discovery.cpp
@@ -173,7 +173,7 @@
       {{"wait_ms", line->called_wait / kMillisecond},
        {"took_ms", (SteadyNow() - line->called_at) / kMillisecond},
        {"whole", message.full},
-       {"entries", message.instances.size()},
+       {"entries", message.workers.size()},
        {"version", message.version}});
   before_.reset();  // whose versions are others: nothing of it may come after this list
   version_ = message.version;
@@ -188,7 +188,7 @@
   using Form = NameTableNews::Form;
   const Form form = message.full ? (left_ ? Form::kRemembered : Form::kWhole)
                                  : (left_ ? Form::kLeftChanges : Form::kChanges);
-  sink_->Tell(NameTableNews{form, Instance::Source::kDiscovery, std::move(message.instances)});
+  sink_->Tell(NameTableNews{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
   clock_.Answered(SteadyNow(), line->called_at);
   refused_ = false;
   Schedule();
--- a/src/http/instance_link.cpp
+++ b/src/http/worker_client.cpp
@@ -1,4 +1,4 @@
-#include "http/instance_link.h"
+#include "http/worker_client.h"
 
 #include <http_parser.h>
 #include <netinet/in.h>
@@ -45,9 +45,9 @@
 
 }  // namespace
 
-class InstanceLink::Connection {
+class WorkerClient::Connection {
  public:
-  Connection(InstanceLink* link, std::string to, EventPtr<bufferevent> stream)
+  Connection(WorkerClient* link, std::string to, EventPtr<bufferevent> stream)
       : address(std::move(to)),
         link_(link),
         stream_(std::move(stream)),
@@ -93,9 +93,9 @@
     evbuffer_freeze(output, 1);
     bufferevent_decref(stream);
   }
-  void Probe(std::string instance, const std::string& message, ProbeDone done) {
+  void Probe(std::string worker, const std::string& message, ProbeDone done) {
     probe_done_ = std::move(done);
-    probed_ = std::move(instance);
+    probed_ = std::move(worker);
     Write(message);
     probe_timer_.Set(link_->dial_timeout_ * 4);  // a probe that takes longer tells nothing
   }
@@ -176,7 +176,7 @@
   }
 
   void TellProgress() {
-    InstanceLink* link = link_;
+    WorkerClient* link = link_;
     for (const AttemptProgress& note : std::exchange(notes_, {}))
       link->sink_->Tell(note);
   }
@@ -292,13 +292,13 @@
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
     const Micros elapsed = SteadyNow() - started_;
-    InstanceLink* link = link_;
+    WorkerClient* link = link_;
     notes_.clear();
     if (attempt)
       link->busy_.erase(*attempt);
     link->Remove(this);  // and with it all of this object
     if (probed)
-      done(ProbeAnswered{*probed, ended.outcome, elapsed, ended.report});
+      done(ProbeCompleted{*probed, ended.outcome, elapsed, ended.report});
     if (!attempt)
       return;
     ended.attempt = *attempt;
@@ -314,19 +314,19 @@
     const auto attempt = std::exchange(attempt_, std::nullopt);
     const auto probed = std::exchange(probed_, std::nullopt);
     const ProbeDone done = std::move(probe_done_);
-    InstanceLink* link = link_;
+    WorkerClient* link = link_;
     if (attempt)
       link->busy_.erase(*attempt);
     link->Remove(this);
     if (probed)
-      done(ProbeAnswered{*probed, outcome, 0, {}});
+      done(ProbeCompleted{*probed, outcome, 0, {}});
     if (!attempt)
       return;
     ended.attempt = *attempt;
     link->sink_->Tell(std::move(ended));
   }
 
-  InstanceLink* link_;
+  WorkerClient* link_;
   EventPtr<bufferevent> stream_;
   Timer probe_timer_;
   ProbeDone probe_done_;
@@ -347,26 +347,26 @@
   std::vector<AttemptProgress> notes_;
 };
 
-InstanceLink::InstanceLink(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink)
+WorkerClient::WorkerClient(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink)
     : base_(base), sink_(sink) {
   Adopt(dial_timeout, most_connections);
 }
 
-void InstanceLink::Adopt(Micros dial_timeout, int most_connections) {
+void WorkerClient::Adopt(Micros dial_timeout, int most_connections) {
   dial_timeout_ = dial_timeout;
   most_connections_ = static_cast<std::size_t>(most_connections);
 }
 
-InstanceLink::~InstanceLink() = default;
+WorkerClient::~WorkerClient() = default;
 
-std::optional<TransferredAttempt> InstanceLink::Borrow(AttemptId attempt) const {
+std::optional<TransferredAttempt> WorkerClient::Borrow(AttemptId attempt) const {
   const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return std::nullopt;
   return found->second->Running();
 }
 
-void InstanceLink::Forget(AttemptId attempt) {
+void WorkerClient::Forget(AttemptId attempt) {
   const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return;
@@ -376,7 +376,7 @@
   Remove(connection);
 }
 
-void InstanceLink::Resume(AttemptId attempt, std::shared_ptr<const Job> job,
+void WorkerClient::Resume(AttemptId attempt, std::shared_ptr<const Job> job,
                           const TransferredAttempt& running) {
   EventPtr<bufferevent> stream(
       bufferevent_socket_new(base_, running.fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
@@ -387,7 +387,7 @@
   raw->Resume(attempt, std::move(job), running.received);
 }
 
-InstanceLink::Connection* InstanceLink::Open(const std::string& address) {
+WorkerClient::Connection* WorkerClient::Open(const std::string& address) {
   if (connections_.size() >= most_connections_) {
     Log(LogLevel::kWarning, "instance_connections_full",
         {{"connections", connections_.size()}, {"address", address}});
@@ -410,7 +410,7 @@
   return raw;
 }
 
-void InstanceLink::Start(const StartAttempt& start) {
+void WorkerClient::Start(const StartAttempt& start) {
   Connection* connection = Open(start.address);
   if (connection == nullptr) {
     sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
@@ -420,13 +420,13 @@
   connection->Run(start.attempt, start.job);
 }
 
-void InstanceLink::Send(const SendAttempt& send) {
+void WorkerClient::Send(const SendAttempt& send) {
   const auto found = busy_.find(send.attempt);
   if (found != busy_.end())
     found->second->Send(send.time_left);
 }
 
-void InstanceLink::Stop(AttemptId attempt) {
+void WorkerClient::Stop(AttemptId attempt) {
   const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return;
@@ -436,22 +436,22 @@
   Remove(connection);  // closing it is what tells the instance
 }
 
-void InstanceLink::Probe(const ProbeInstance& probe) {
-  Probe(probe, [this](ProbeAnswered answered) { sink_->Tell(std::move(answered)); });
+void WorkerClient::Probe(const ProbeWorker& probe) {
+  Probe(probe, [this](ProbeCompleted answered) { sink_->Tell(std::move(answered)); });
 }
 
-void InstanceLink::Probe(const ProbeInstance& probe, ProbeDone done) {
+void WorkerClient::Probe(const ProbeWorker& probe, ProbeDone done) {
   Connection* connection = Open(probe.address);
   if (connection == nullptr) {
-    done(ProbeAnswered{probe.instance, Outcome::kConnectFailed, 0, {}});
+    done(ProbeCompleted{probe.worker, Outcome::kConnectFailed, 0, {}});
     return;
   }
   connection->Probe(
-      probe.instance,
+      probe.worker,
       "GET /-/load HTTP/1.1\r\n" + HeaderLine("Host", probe.address) + "Connection: close\r\n\r\n",
       std::move(done));
 }
 
-void InstanceLink::Remove(Connection* connection) { connections_.erase(connection); }
+void WorkerClient::Remove(Connection* connection) { connections_.erase(connection); }
 
 }  // namespace aldersill
--- a/src/http/instance_link.h
+++ b/src/http/worker_client.h
@@ -3,8 +3,8 @@
 // costs milliseconds where a job takes seconds (docs/architecture.md has what was measured). Not on evhttp's
 // client, which cannot tell a request never written whole from a connection reset after it, nor when a
 // connection has come up (docs/architecture.md has what was measured).
-#ifndef ALDERSILL_SRC_HTTP_INSTANCE_LINK_H_
-#define ALDERSILL_SRC_HTTP_INSTANCE_LINK_H_
+#ifndef ALDERSILL_SRC_HTTP_WORKER_CLIENT_H_
+#define ALDERSILL_SRC_HTTP_WORKER_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -26,10 +26,10 @@
   std::string received;  // of the answer so far
 };
 
-class InstanceLink {
+class WorkerClient {
  public:
-  InstanceLink(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink);
-  ~InstanceLink();
+  WorkerClient(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink);
+  ~WorkerClient();
 
   void Adopt(Micros dial_timeout, int most_connections);
   // Connects; tells AttemptConnected, and writes nothing before Send.
@@ -44,10 +44,10 @@
   // Goes on with one that another process handed over.
   void Resume(AttemptId attempt, std::shared_ptr<const Job> job, const TransferredAttempt& running);
   // Tells the sink.
-  void Probe(const ProbeInstance& probe);
+  void Probe(const ProbeWorker& probe);
   // Tells `done` instead, once, and maybe at once.
-  using ProbeDone = std::function<void(ProbeAnswered)>;
-  void Probe(const ProbeInstance& probe, ProbeDone done);
+  using ProbeDone = std::function<void(ProbeCompleted)>;
+  void Probe(const ProbeWorker& probe, ProbeDone done);
 
  private:
   class Connection;
@@ -67,4 +67,4 @@
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_HTTP_INSTANCE_LINK_H_
+#endif  // ALDERSILL_SRC_HTTP_WORKER_CLIENT_H_
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -47,9 +47,9 @@
          {"service_ms", Told(e.report.service_ms)},
          {"served_per_s", Told(e.report.served_per_s)}});
   }
-  void operator()(const ProbeAnswered& e) const {
+  void operator()(const ProbeCompleted& e) const {
     Log(LogLevel::kDebug, "probe_answered",
-        {{"instance", e.instance},
+        {{"instance", e.worker},
          {"outcome", Name(e.outcome)},
          {"elapsed_ms", e.elapsed / kMillisecond},
          {"free", Told(e.report.free_slots)},
@@ -58,12 +58,12 @@
          {"served_per_s", Told(e.report.served_per_s)}});
   }
   void operator()(const NameTableNews& e) const {
-    for (const Instance& i : e.instances) {
+    for (const WorkerEndpoint& i : e.workers) {
       Log(LogLevel::kDebug, "instance_told",
           {{"instance", i.name},
-           {"state", i.state == Instance::State::kReady      ? "ready"
-                     : i.state == Instance::State::kDraining ? "draining"
-                                                             : "gone"},
+           {"state", i.state == WorkerEndpoint::State::kReady      ? "ready"
+                     : i.state == WorkerEndpoint::State::kDraining ? "draining"
+                                                                   : "gone"},
            {"zone", i.zone},
            {"kind", i.kind},
            {"weight", i.weight},
@@ -76,13 +76,13 @@
 struct EffectLines {
   void operator()(const StartAttempt& e) const {
     Log(LogLevel::kDebug, "execution_started",
-        {{"execution", static_cast<std::uint64_t>(e.attempt)}, {"id", e.job->id}, {"instance", e.instance}});
+        {{"execution", static_cast<std::uint64_t>(e.attempt)}, {"id", e.job->id}, {"instance", e.worker}});
   }
   void operator()(const StopAttempt& e) const {
     Log(LogLevel::kDebug, "execution_stopped", {{"execution", static_cast<std::uint64_t>(e.attempt)}});
   }
-  void operator()(const ProbeInstance& e) const {
-    Log(LogLevel::kDebug, "probe_sent", {{"instance", e.instance}});
+  void operator()(const ProbeWorker& e) const {
+    Log(LogLevel::kDebug, "probe_sent", {{"instance", e.worker}});
   }
   void operator()(const Answer& e) const {
     const auto* nack = std::get_if<Nack>(&e.answer);
--- a/src/name_table/codec.cpp
+++ b/src/name_table/codec.cpp
@@ -10,13 +10,13 @@
 
 using Json = nlohmann::json;
 
-Instance::State DecodeState(const std::string& text) {
+WorkerEndpoint::State DecodeState(const std::string& text) {
   if (text == "SERVING")
-    return Instance::State::kReady;
+    return WorkerEndpoint::State::kReady;
   if (text == "DRAINING")
-    return Instance::State::kDraining;
+    return WorkerEndpoint::State::kDraining;
   if (text == "DELETED")
-    return Instance::State::kGone;
+    return WorkerEndpoint::State::kGone;
   throw BadMessage("state '" + text + "' is unknown");
 }
 
@@ -40,13 +40,13 @@
   for (const Json& item : *list) {
     if (!item.is_object())
       throw BadMessage("servers must hold objects");
-    Instance entry;
+    WorkerEndpoint entry;
     entry.name = TextOf(item, "id");
     if (entry.name.empty())
       throw BadMessage("id must not be empty");
     entry.state = DecodeState(TextOf(item, "state"));
     entry.address = TextOf(item, "addr", "");
-    if (entry.address.empty() && entry.state != Instance::State::kGone)
+    if (entry.address.empty() && entry.state != WorkerEndpoint::State::kGone)
       throw BadMessage("addr must not be empty");
     entry.zone = TextOf(item, "zone", "");
     entry.kind = TextOf(item, "kind", "");
@@ -54,7 +54,7 @@
     entry.weight = NumberOf(item, "weight", 1.0);
     entry.started =
         static_cast<Micros>(std::clamp(NumberOf(item, "started_ms", 0.0), 0.0, 9e12)) * kMillisecond;
-    message.instances.push_back(std::move(entry));
+    message.workers.push_back(std::move(entry));
   }
   return message;
 }
--- a/src/name_table/codec.h
+++ b/src/name_table/codec.h
@@ -14,7 +14,7 @@
 struct NameTableMessage {
   std::uint64_t version = 0;
   bool full = false;
-  std::vector<Instance> instances;
+  std::vector<WorkerEndpoint> workers;
 };
 // Both throw BadMessage (net/json_message.h).
 NameTableMessage DecodeNameTable(const nlohmann::json& json);
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -23,8 +23,8 @@
   const auto scalar = [&](Value value) { objects[{1, ++column, 0}] = std::move(value); };
   scalar(ToGauge(c.open_requests));
   scalar(ToGauge(c.open_attempts));
-  scalar(ToGauge(c.ready_instances));
-  scalar(ToGauge(c.draining_instances));
+  scalar(ToGauge(c.ready_workers));
+  scalar(ToGauge(c.draining_workers));
   scalar(Counter{c.attempts_started});
   scalar(Counter{c.repeats_barred});
   scalar(Counter{c.name_table_news});
