--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -11,7 +11,7 @@
 
 #include "config/near_name.h"
 #include "config/operator_file.h"
-#include "name_table/codec.h"
+#include "endpoint_list/codec.h"
 #include "net/json_message.h"
 
 namespace aldersill {
@@ -458,7 +458,7 @@
   c.memory_mb = root["limits"]["memory_mb"].AtLeast(16, c.memory_mb);
   if (const Field known = root["known"]; known.present()) {
     try {
-      NameTableMessage message = DecodeNameTable(known.json());
+      EndpointListMessage message = DecodeEndpointList(known.json());
       c.known = std::move(message.workers);
       c.known_version = message.version;
     } catch (const BadMessage& e) {
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -25,7 +25,7 @@
   // Answered by a front itself, as no job could be read off them. By status, the ones that a front gives.
   std::map<int, std::uint64_t> turned_away{{400, 0}, {405, 0}, {408, 0}, {413, 0}, {431, 0}, {503, 0}};
   std::uint64_t reconfigurations = 0, reconfigurations_refused = 0;
-  std::uint64_t name_table_news = 0, name_table_failures = 0;
+  std::uint64_t endpoint_list_updates = 0, endpoint_list_failures = 0;
   std::uint64_t open_requests = 0, open_attempts = 0;     // gauges
   std::uint64_t waiting_clients = 0;                      // gauge: owed an answer
   std::uint64_t ready_workers = 0, draining_workers = 0;  // gauges
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -46,8 +46,8 @@
   if (const auto* out = std::get_if<AttemptSent>(&event))
     On(AttemptSent(*out));
   // Then, before all else: a timer that comes late must not let one more execution go.
-  if (now_ >= good_until_)
-    Distrust();
+  if (now_ >= endpoint_list_valid_until_)
+    ExpireEndpointList();
   std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
   // The module is never called from within its own actions: what they bring about waits its turn here.
   while (!for_module_.empty()) {
@@ -263,10 +263,10 @@
 }
 
 void Reducer::On(TimerDue&& e) {
-  if (e.key.wait == TimerKey::Wait::kNameTable) {
-    good_timer_ = now_ < good_until_;
-    if (good_timer_)
-      Ask(SetTimer{e.key, good_until_ - now_});
+  if (e.key.wait == TimerKey::Wait::kEndpointListExpiry) {
+    expiry_timer_set_ = now_ < endpoint_list_valid_until_;
+    if (expiry_timer_set_)
+      Ask(SetTimer{e.key, endpoint_list_valid_until_ - now_});
     return;
   }
   if (e.key.wait == TimerKey::Wait::kModule)
@@ -289,14 +289,14 @@
   End(number, fetches ? Outcome::kFull : Outcome::kConnectFailed, "", {}, true);
 }
 
-void Reducer::On(NameTableNews&& e) {
-  ++counters_.name_table_news;
-  using Form = NameTableNews::Form;
-  const bool whole = e.form == Form::kWhole || e.form == Form::kRemembered;
-  if (e.source == WorkerEndpoint::Source::kDiscovery && e.form != Form::kRemembered)
+void Reducer::On(EndpointListUpdate&& e) {
+  ++counters_.endpoint_list_updates;
+  using Form = EndpointListUpdate::Form;
+  const bool whole = e.form == Form::kSnapshot || e.form == Form::kCached;
+  if (e.source == WorkerEndpoint::Source::kDiscovery && e.form != Form::kCached)
     heard_ = true;
   if (whole) {
-    for (auto& [name, known] : name_table_) {
+    for (auto& [name, known] : endpoints_) {
       if (known.source == e.source)
         known.state = WorkerEndpoint::State::kGone;
     }
@@ -310,26 +310,26 @@
     changes.workers.push_back(ModuleEntry(entry));
     if (ever_listed_.size() < kMostEverListed)
       ever_listed_.insert(entry.name);
-    WorkerEndpoint& known = name_table_[entry.name];
+    WorkerEndpoint& known = endpoints_[entry.name];
     if (entry.address.empty())
       entry.address = known.address;
     known = std::move(entry);
   }
-  std::erase_if(name_table_,
+  std::erase_if(endpoints_,
                 [&](const auto& named) { return named.second.state == WorkerEndpoint::State::kGone; });
   counters_.ready_workers = counters_.draining_workers = 0;
-  for (const auto& [name, known] : name_table_)
+  for (const auto& [name, known] : endpoints_)
     ++(known.state == WorkerEndpoint::State::kReady ? counters_.ready_workers : counters_.draining_workers);
-  if (e.source == WorkerEndpoint::Source::kSession || e.form == Form::kLeftChanges) {
+  if (e.source == WorkerEndpoint::Source::kSession || e.form == Form::kDeltaFromPreviousSource) {
     // As a list of old: any other would tell the module that it is subscribed, and it would never ask
     // discovery.
-    TellModules(WholeList(WorkerList::Form::kCached));
+    TellModules(SnapshotFor(WorkerList::Form::kCached));
   } else if (!whole) {
     TellModules(std::move(changes));
   } else {
-    const bool old = e.form == Form::kRemembered;
+    const bool old = e.form == Form::kCached;
     watched_ = !old;
-    TellModules(WholeList(old ? WorkerList::Form::kCached : WorkerList::Form::kFull));
+    TellModules(SnapshotFor(old ? WorkerList::Form::kCached : WorkerList::Form::kFull));
   }
   // What is decided but not yet handed over must not reach an instance that has meanwhile been told to drain.
   WithdrawLate();
@@ -344,33 +344,33 @@
   Withdraw(late);
 }
 
-void Reducer::On(NameTableFailed&&) {
-  ++counters_.name_table_failures;
+void Reducer::On(EndpointListWatchFailed&&) {
+  ++counters_.endpoint_list_failures;
   watched_ = false;
   TellModules(WorkerList{WorkerList::Form::kFailed, {}});
 }
 
-void Reducer::On(NameTableGood&& e) {
+void Reducer::On(EndpointListLease&& e) {
 #ifdef ALDERSILL_PLANT_OLD_LISTS_TRUSTED  // planted where a search must find it
-  e.left = NameTableGood::kForEver;
+  e.left = EndpointListLease::kForEver;
 #endif
-  good_until_ = now_ + std::clamp<Micros>(e.left, 0, NameTableGood::kForEver);
+  endpoint_list_valid_until_ = now_ + std::clamp<Micros>(e.left, 0, EndpointListLease::kForEver);
   if (e.left <= 0)
-    return Distrust();
-  if (std::exchange(distrusted_, false)) {
+    return ExpireEndpointList();
+  if (std::exchange(endpoint_list_expired_, false)) {
     Ask(LogLine{"worker list: known again, jobs are sent"});
-    TellModules(WholeList(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
+    TellModules(SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
   }
-  if (e.left < NameTableGood::kForEver && !std::exchange(good_timer_, true))
-    Ask(SetTimer{{TimerKey::Wait::kNameTable}, e.left});
+  if (e.left < EndpointListLease::kForEver && !std::exchange(expiry_timer_set_, true))
+    Ask(SetTimer{{TimerKey::Wait::kEndpointListExpiry}, e.left});
 }
 
-void Reducer::Distrust() {
-  if (std::exchange(distrusted_, true))
+void Reducer::ExpireEndpointList() {
+  if (std::exchange(endpoint_list_expired_, true))
     return;
   Ask(LogLine{"worker list: too old to go by, no job is sent until discovery answers"});
   // A delta would tell the module that it is subscribed.
-  TellModules(WholeList(WorkerList::Form::kCached));
+  TellModules(SnapshotFor(WorkerList::Form::kCached));
   std::vector<AttemptId> late;
   for (const auto& [number, x] : attempts_) {
     if (x.source == WorkerEndpoint::Source::kDiscovery)
@@ -387,13 +387,13 @@
 
 void Reducer::On(WorkerBanned&& e) {
   const bool changed = e.banned ? banned_.insert(e.worker).second : banned_.erase(e.worker) > 0;
-  const auto known = name_table_.find(e.worker);
-  if (!changed || known == name_table_.end())
+  const auto known = endpoints_.find(e.worker);
+  if (!changed || known == endpoints_.end())
     return;
   if (watched_)
     TellModules(WorkerList{WorkerList::Form::kDelta, {ModuleEntry(known->second)}});
   else
-    TellModules(WholeList(WorkerList::Form::kCached));  // a delta would tell it that it is subscribed
+    TellModules(SnapshotFor(WorkerList::Form::kCached));  // a delta would tell it that it is subscribed
   WithdrawLate();
 }
 
@@ -404,7 +404,7 @@
   const std::uint64_t now = modules_.rbegin()->first;
   // Known workers go on being used; the watch goes on as well where there is one.
   if (now != before)
-    TellModule(now, WholeList(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
+    TellModule(now, SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
 }
 
 // ---- The module's actions ----
@@ -418,8 +418,8 @@
   const AttemptId number{next_attempt_++};
   const int attempt_number = static_cast<int>(r.attempts.size());
   r.attempts.push_back(number);
-  const auto known = name_table_.find(a.worker);
-  const bool listed = known != name_table_.end() && MayGetNew(known->second);
+  const auto known = endpoints_.find(a.worker);
+  const bool listed = known != endpoints_.end() && MayGetNew(known->second);
   if (now_ >= r.start_by)
     Finish(request, Failure{Failure::Why::kRepeat});
   if (!listed || r.answered || now_ >= r.deadline) {
@@ -481,16 +481,16 @@
 }
 
 void Reducer::Do(const dispatch::Probe& a) {
-  const auto known = name_table_.find(a.worker);
-  if (known != name_table_.end() && known->second.source == WorkerEndpoint::Source::kDiscovery)
+  const auto known = endpoints_.find(a.worker);
+  if (known != endpoints_.end() && known->second.source == WorkerEndpoint::Source::kDiscovery)
     Ask(ProbeWorker{a.worker, known->second.address});
 }
 
 void Reducer::Do(const dispatch::SubscribeList&) {
   if (settings_.has_discovery)
-    return Ask(WatchNameTable{});
+    return Ask(WatchEndpointList{});
   // Nobody to ask: the sessions' own word is the whole list, and it comes unasked.
-  TellModule(acting_, WholeList(WorkerList::Form::kFull));
+  TellModule(acting_, SnapshotFor(WorkerList::Form::kFull));
 }
 
 void Reducer::Do(const dispatch::Log& a) { Ask(LogLine{a.text}); }
@@ -508,19 +508,18 @@
 
 bool Reducer::MayGetNew(const WorkerEndpoint& i) const {
   return i.state == WorkerEndpoint::State::kReady && !banned_.contains(i.name) &&
-         !(distrusted_ && i.source == WorkerEndpoint::Source::kDiscovery);
+         !(endpoint_list_expired_ && i.source == WorkerEndpoint::Source::kDiscovery);
 }
 
 std::size_t Reducer::AvoidedWorkers() const {
   const dispatch::Dispatcher& module = modules_.rbegin()->second.dispatcher;
-  return static_cast<std::size_t>(std::ranges::count_if(name_table_, [&](const auto& named) {
-    return !MayGetNew(named.second) || module.Avoids(named.first);
-  }));
+  return static_cast<std::size_t>(std::ranges::count_if(
+      endpoints_, [&](const auto& named) { return !MayGetNew(named.second) || module.Avoids(named.first); }));
 }
 
 bool Reducer::MayStillGo(const Attempt& x) const {
-  const auto known = name_table_.find(x.worker);
-  return known != name_table_.end() && MayGetNew(known->second) && known->second.started <= x.worker_started;
+  const auto known = endpoints_.find(x.worker);
+  return known != endpoints_.end() && MayGetNew(known->second) && known->second.started <= x.worker_started;
 }
 
 void Reducer::End(AttemptId number, Outcome outcome, std::string result, LoadReport report, bool stop) {
@@ -599,9 +598,9 @@
   requests_.erase(found);
 }
 
-WorkerList Reducer::WholeList(WorkerList::Form form) const {
+WorkerList Reducer::SnapshotFor(WorkerList::Form form) const {
   WorkerList list{form, {}};
-  for (const auto& [name, known] : name_table_)
+  for (const auto& [name, known] : endpoints_)
     list.workers.push_back(ModuleEntry(known));
   return list;
 }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -28,10 +28,10 @@
 
   const Counters& counters() const { return counters_; }
   bool Quiet() const { return requests_.empty() && attempts_.empty(); }
-  const std::map<std::string, WorkerEndpoint>& name_table() const { return name_table_; }
+  const std::map<std::string, WorkerEndpoint>& endpoints() const { return endpoints_; }
   // Whether the worker has been known since the start, or is banned.
   bool EverListed(const std::string& worker) const {
-    return ever_listed_.contains(worker) || name_table_.contains(worker) || banned_.contains(worker);
+    return ever_listed_.contains(worker) || endpoints_.contains(worker) || banned_.contains(worker);
   }
   // Known workers that get nothing new now: banned, draining, or left alone by the decision module.
   std::size_t AvoidedWorkers() const;
@@ -39,7 +39,7 @@
   std::vector<JobInHand> JobsInHand() const;
   const std::set<std::string>& banned() const { return banned_; }
   // Whether the worker list may be acted on, and discovery, where there is one, has told it to this process.
-  bool ListConfirmed() const { return !distrusted_ && (heard_ || !settings_.has_discovery); }
+  bool ListConfirmed() const { return !endpoint_list_expired_ && (heard_ || !settings_.has_discovery); }
 
  private:
   // Of an adopted job, on which no module decides: it is not tried again here.
@@ -83,9 +83,9 @@
   void On(AttemptEnded&& e);
   void On(AbandonedAttemptEnded&& e);
   void On(TimerDue&& e);
-  void On(NameTableNews&& e);
-  void On(NameTableFailed&& e);
-  void On(NameTableGood&& e);
+  void On(EndpointListUpdate&& e);
+  void On(EndpointListWatchFailed&& e);
+  void On(EndpointListLease&& e);
   void On(ProbeCompleted&& e);
   void On(SettingsChanged&& e);
   void On(SettingsRefused&& e);
@@ -120,7 +120,7 @@
   // The end of an adopted job whose attempt was not served: no module knows of it.
   void FinishAdopted(std::uint64_t number, Outcome outcome);
   // Discovery's list may not be acted on any more: nothing new goes to its instances until it is good again.
-  void Distrust();
+  void ExpireEndpointList();
   // Ends what is decided but not handed over and may not go to its instance any more.
   void WithdrawLate();
   // What the module is told of an instance: one that cannot be vouched for wants nothing new.
@@ -135,17 +135,17 @@
   void Withdraw(const std::vector<AttemptId>& attempts);
   // Of a request that is answered or whose client has left: only what was handed over goes on.
   void ForgetIfDone(std::uint64_t number);
-  dispatch::WorkerList WholeList(dispatch::WorkerList::Form form) const;
+  dispatch::WorkerList SnapshotFor(dispatch::WorkerList::Form form) const;
   void Ask(Effect effect) { effects_->push_back(std::move(effect)); }
 
   CoreSettings settings_;
-  std::map<std::uint64_t, Module> modules_;      // the last is the one for new requests
-  std::uint64_t acting_ = 0;                     // the one whose actions are being carried out
-  bool watched_ = false;                         // discovery's list came whole, and its changes come
-  Micros good_until_ = NameTableGood::kForEver;  // discovery's list
-  bool heard_ = false;                           // discovery has told of its list since the start
-  bool distrusted_ = false;                      // that time is over
-  bool good_timer_ = false;                      // one is set for it
+  std::map<std::uint64_t, Module> modules_;  // the last is the one for new requests
+  std::uint64_t acting_ = 0;                 // the one whose actions are being carried out
+  bool watched_ = false;                     // discovery's list came whole, and its changes come
+  Micros endpoint_list_valid_until_ = EndpointListLease::kForEver;  // discovery's list
+  bool heard_ = false;                  // discovery has told of its list since the start
+  bool endpoint_list_expired_ = false;  // that time is over
+  bool expiry_timer_set_ = false;       // one is set for it
   Micros now_ = 0;
   std::vector<Effect>* effects_ = nullptr;
   std::deque<std::pair<std::uint64_t, dispatch::Event>> for_module_;
@@ -157,7 +157,7 @@
   std::map<AttemptId, Attempt> attempts_;
   // Given up on, yet out at instances that cannot be told to stop, with the ids of their jobs.
   std::map<AttemptId, std::string> abandoned_attempts_;
-  std::map<std::string, WorkerEndpoint> name_table_;
+  std::map<std::string, WorkerEndpoint> endpoints_;
   std::set<std::string> ever_listed_;  // kMostEverListed at most
   std::set<std::string> banned_;
   struct Class {
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -138,7 +138,7 @@
   AttemptId attempt{};
 };
 struct TimerKey {
-  enum class Wait { kModule, kSendDeadline, kGiveUp, kNameTable } wait = Wait::kModule;
+  enum class Wait { kModule, kSendDeadline, kGiveUp, kEndpointListExpiry } wait = Wait::kModule;
   std::uint64_t id = 0;
   std::uint64_t module = 0;  // kModule: which one, in the order of their settings
   auto operator<=>(const TimerKey&) const = default;
@@ -146,16 +146,16 @@
 struct TimerDue {
   TimerKey key;
 };
-struct NameTableNews {
-  // kRemembered: a whole list, kLeftChanges: changes, of a source that is not watched (any more).
-  enum class Form { kChanges, kWhole, kRemembered, kLeftChanges } form = Form::kWhole;
+struct EndpointListUpdate {
+  // kCached: a whole list, kDeltaFromPreviousSource: changes, of a source that is not watched (any more).
+  enum class Form { kDelta, kSnapshot, kCached, kDeltaFromPreviousSource } form = Form::kSnapshot;
   WorkerEndpoint::Source source = WorkerEndpoint::Source::kDiscovery;
   std::vector<WorkerEndpoint> workers;
 };
-struct NameTableFailed {};
+struct EndpointListWatchFailed {};
 // For so long from now discovery's list may be acted on; not above 0: what it does not tell any more may
 // count as told already. Where this is never told, the list is good for ever.
-struct NameTableGood {
+struct EndpointListLease {
   static constexpr Micros kForEver = Micros{1} << 60;
   Micros left = 0;
 };
@@ -167,8 +167,8 @@
 };
 using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestTurnedAway, ClientLeft,
                            AttemptConnected, AttemptSent, AttemptProgress, AttemptEnded,
-                           AbandonedAttemptEnded, TimerDue, NameTableNews, NameTableFailed, NameTableGood,
-                           ProbeCompleted, SettingsChanged, SettingsRefused, WorkerBanned>;
+                           AbandonedAttemptEnded, TimerDue, EndpointListUpdate, EndpointListWatchFailed,
+                           EndpointListLease, ProbeCompleted, SettingsChanged, SettingsRefused, WorkerBanned>;
 
 // ---- Effects ----
 
@@ -222,12 +222,12 @@
   std::string worker;
   std::string address;
 };
-struct WatchNameTable {};
+struct WatchEndpointList {};
 struct LogLine {
   std::string text;
 };
 using Effect = std::variant<StartAttempt, ResumeAttempt, SendAttempt, StopAttempt, Answer, SetTimer,
-                            ClearTimer, ProbeWorker, WatchNameTable, LogLine>;
+                            ClearTimer, ProbeWorker, WatchEndpointList, LogLine>;
 
 // A job as it could be handed to another process of this dispatcher.
 struct JobInHand {
--- a/src/daemon/cluster_part.cpp
+++ b/src/daemon/cluster_part.cpp
@@ -156,11 +156,11 @@
 
   void LookAtNames() {
     names_timer_.Set(kLookAtNames);
-    const std::uint64_t news = around_.reducer->counters().name_table_news;
+    const std::uint64_t news = around_.reducer->counters().endpoint_list_updates;
     if (std::exchange(seen_news_, news) == news)
       return;
     cluster::Workers workers;
-    for (const auto& [name, worker] : around_.reducer->name_table()) {
+    for (const auto& [name, worker] : around_.reducer->endpoints()) {
       if (worker.source == WorkerEndpoint::Source::kDiscovery &&
           worker.state == WorkerEndpoint::State::kReady)
         workers.all.emplace_back(name, worker.address);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -71,7 +71,8 @@
     evsignal_add(signals_.back().get(), nullptr);
   }
   quiet_timer_ = std::make_unique<Timer>(base_.get(), [this] { EndIfQuiet(); });
-  Tell(NameTableNews{NameTableNews::Form::kRemembered, WorkerEndpoint::Source::kDiscovery, config_.known});
+  Tell(EndpointListUpdate{EndpointListUpdate::Form::kCached, WorkerEndpoint::Source::kDiscovery,
+                          config_.known});
   for (const auto& part : parts_)
     part->Announce();
   Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"remembered", config_.known.size()}});
@@ -133,9 +134,9 @@
   if (offers_.probe)
     offers_.probe(e);
 }
-void Daemon::Do(const WatchNameTable&) {
-  if (offers_.watch_name_table)
-    offers_.watch_name_table();
+void Daemon::Do(const WatchEndpointList&) {
+  if (offers_.watch_endpoint_list)
+    offers_.watch_endpoint_list();
 }
 void Daemon::Do(const LogLine& e) { Log(LogLevel::kInfo, "module", {{"text", e.text}}); }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -33,7 +33,7 @@
   void Do(const SetTimer& e);
   void Do(const ClearTimer& e);
   void Do(const ProbeWorker& e);
-  void Do(const WatchNameTable& e);
+  void Do(const WatchEndpointList& e);
   void Do(const LogLine& e);
 
   static void OnSignal(evutil_socket_t signal, short what, void* self);
--- a/src/daemon/part.h
+++ b/src/daemon/part.h
@@ -44,7 +44,7 @@
   std::function<void(const ProbeWorker&)> probe;
   // The same for a part's own sake: what comes of it goes to the function alone, once.
   std::function<void(const ProbeWorker&, std::function<void(ProbeCompleted)>)> probe_for;
-  std::function<void()> watch_name_table;
+  std::function<void()> watch_endpoint_list;
   // Why this process takes no clients, in one line; empty where it does.
   std::function<std::string()> why_not_ready;
   // The other processes of this dispatcher, as while one is upgraded to the next.
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -86,7 +86,7 @@
     Offers& offers = *around_.offers;
     offers.attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kDiscovery)] = this;
     offers.doors[static_cast<std::size_t>(ClientRef::Front::kHttp)] = this;
-    offers.watch_name_table = [this] {
+    offers.watch_endpoint_list = [this] {
       if (discovery_ != nullptr)
         discovery_->Watch();
     };
@@ -126,7 +126,7 @@
         {{"address", c.discovery ? ToText(*c.discovery) : std::string("none")}});
     if (!c.discovery) {
       discovery_.reset();
-      return around_.sink->Tell(NameTableGood{NameTableGood::kForEver});
+      return around_.sink->Tell(EndpointListLease{EndpointListLease::kForEver});
     }
     // Its versions are its own: the whole list first, and until then the workers that are known serve on.
     DiscoveryClock clock = Clock(c);
--- a/src/name_table/codec.cpp
+++ b/src/endpoint_list/codec.cpp
@@ -1,4 +1,4 @@
-#include "name_table/codec.h"
+#include "endpoint_list/codec.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-NameTableMessage DecodeNameTable(const Json& json) {
+EndpointListMessage DecodeEndpointList(const Json& json) {
   if (!json.is_object())
     throw BadMessage("is not a JSON object");
-  NameTableMessage message;
+  EndpointListMessage message;
   const double version = NumberOf(json, "version", 0.0);
   if (!(version >= 0.0 && version < 9e15))
     throw BadMessage("version is out of range");
@@ -59,6 +59,8 @@
   return message;
 }
 
-NameTableMessage DecodeNameTable(std::string_view body) { return DecodeNameTable(ParseObject(body)); }
+EndpointListMessage DecodeEndpointList(std::string_view body) {
+  return DecodeEndpointList(ParseObject(body));
+}
 
 }  // namespace aldersill
--- a/src/name_table/codec.h
+++ b/src/endpoint_list/codec.h
@@ -1,6 +1,6 @@
 // Discovery's list as the platform writes it, in its answers and in the configuration alike.
-#ifndef ALDERSILL_SRC_NAME_TABLE_CODEC_H_
-#define ALDERSILL_SRC_NAME_TABLE_CODEC_H_
+#ifndef ALDERSILL_SRC_ENDPOINT_LIST_CODEC_H_
+#define ALDERSILL_SRC_ENDPOINT_LIST_CODEC_H_
 
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -11,15 +11,15 @@
 
 namespace aldersill {
 
-struct NameTableMessage {
+struct EndpointListMessage {
   std::uint64_t version = 0;
   bool full = false;
   std::vector<WorkerEndpoint> workers;
 };
 // Both throw BadMessage (net/json_message.h).
-NameTableMessage DecodeNameTable(const nlohmann::json& json);
-NameTableMessage DecodeNameTable(std::string_view body);
+EndpointListMessage DecodeEndpointList(const nlohmann::json& json);
+EndpointListMessage DecodeEndpointList(std::string_view body);
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_NAME_TABLE_CODEC_H_
+#endif  // ALDERSILL_SRC_ENDPOINT_LIST_CODEC_H_
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -370,8 +370,8 @@
 void Front::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
 
 void Front::TellState(const Worker& worker) {
-  sink_->Tell(
-      NameTableNews{NameTableNews::Form::kChanges, WorkerEndpoint::Source::kSession, {worker.endpoint}});
+  sink_->Tell(EndpointListUpdate{
+      EndpointListUpdate::Form::kDelta, WorkerEndpoint::Source::kSession, {worker.endpoint}});
 }
 
 void Front::TellFree(const Worker& worker) {
--- a/src/http/discovery.cpp
+++ b/src/http/discovery.cpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <utility>
 
+#include "endpoint_list/codec.h"
 #include "log/log.h"
-#include "name_table/codec.h"
 #include "net/json_message.h"
 
 namespace aldersill {
@@ -73,7 +73,7 @@
     next_probe_->Set(std::max<Micros>(0, clock_.next_probe() - now));
   }
   if (!left_)
-    sink_->Tell(NameTableGood{clock_.good_until() - now});
+    sink_->Tell(EndpointListLease{clock_.valid_until() - now});
 }
 
 void Discovery::Probed(bool refused) {
@@ -81,7 +81,7 @@
   // Those that follow tell nothing new.
   if (refused)
     Log(std::exchange(refused_, true) ? LogLevel::kDebug : LogLevel::kWarning, "discovery_refused",
-        {{"good_ms", (clock_.good_until() - now) / kMillisecond}});
+        {{"good_ms", (clock_.valid_until() - now) / kMillisecond}});
   else if (std::exchange(refused_, false))
     Log(LogLevel::kInfo, "discovery_back");
   refused ? clock_.Refused(now) : clock_.MayBeReached(now);
@@ -160,9 +160,9 @@
   evbuffer* body = evhttp_request_get_input_buffer(request);
   const std::size_t size = evbuffer_get_length(body);
   const char* text = reinterpret_cast<const char*>(evbuffer_pullup(body, -1));
-  NameTableMessage message;
+  EndpointListMessage message;
   try {
-    message = DecodeNameTable(std::string_view(text != nullptr ? text : "", size));
+    message = DecodeEndpointList(std::string_view(text != nullptr ? text : "", size));
   } catch (const BadMessage& e) {
     return Fail(line, e.what(), true);
   }
@@ -185,10 +185,10 @@
   const int on = 1;
   if (fd >= 0)
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  using Form = NameTableNews::Form;
-  const Form form = message.full ? (left_ ? Form::kRemembered : Form::kWhole)
-                                 : (left_ ? Form::kLeftChanges : Form::kChanges);
-  sink_->Tell(NameTableNews{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
+  using Form = EndpointListUpdate::Form;
+  const Form form = message.full ? (left_ ? Form::kCached : Form::kSnapshot)
+                                 : (left_ ? Form::kDeltaFromPreviousSource : Form::kDelta);
+  sink_->Tell(EndpointListUpdate{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
   clock_.Answered(SteadyNow(), line->called_at);
   refused_ = false;
   Schedule();
@@ -210,7 +210,7 @@
     return;
   continuing_ = false;
   if (!left_)
-    return sink_->Tell(NameTableFailed{});
+    return sink_->Tell(EndpointListWatchFailed{});
   after_->clock_.LeftFailed();
   after_->Schedule();
 }
--- a/src/http/discovery_clock.h
+++ b/src/http/discovery_clock.h
@@ -48,7 +48,7 @@
     complete_at_ = left.complete_at_;
     failed_ = left.failed_ || (left.out_ && left.called_wait_ == 0 && !left.pushed());
     if (!pushed())
-      bound_until_ = left.good_until();
+      bound_until_ = left.valid_until();
   }
   // The watch at the old address has answered: it was on when we were moved.
   void LeftAnswered(const DiscoveryClock& left) {
@@ -135,7 +135,7 @@
   }
 
   // From then on something may count as told that has not arrived.
-  Micros good_until() const {
+  Micros valid_until() const {
     const Micros until = std::min(pushed() ? PushedUntil() : AskedUntil(), bound_until_);
     // Once a call has failed, was given up or is overdue, every change that discovery could have told counts,
     // whatever the calls since then.
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -57,7 +57,7 @@
          {"service_ms", Told(e.report.service_ms)},
          {"served_per_s", Told(e.report.served_per_s)}});
   }
-  void operator()(const NameTableNews& e) const {
+  void operator()(const EndpointListUpdate& e) const {
     for (const WorkerEndpoint& i : e.workers) {
       Log(LogLevel::kDebug, "instance_told",
           {{"instance", i.name},
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -27,8 +27,8 @@
   scalar(ToGauge(c.draining_workers));
   scalar(Counter{c.attempts_started});
   scalar(Counter{c.repeats_barred});
-  scalar(Counter{c.name_table_news});
-  scalar(Counter{c.name_table_failures});
+  scalar(Counter{c.endpoint_list_updates});
+  scalar(Counter{c.endpoint_list_failures});
   // Tables: {table, entry, column, index}.
   for (std::uint64_t i = 0; i < c.classes.size(); ++i) {
     const ClassCounters& k = c.classes[i];
