--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -19,7 +19,7 @@
   std::string text;
   for (const ClassCounters& c : counters.classes) {
     AddCounter("success." + c.name, c.served, &text);
-    AddCounter("busy." + c.name, c.nacked, &text);
+    AddCounter("busy." + c.name, c.rejected, &text);
     AddCounter("failure." + c.name, c.failed, &text);
   }
   AddCounter("backend_calls", counters.attempts_sent, &text);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -12,7 +12,7 @@
 
 struct ClassCounters {
   std::string name;
-  std::uint64_t taken = 0, served = 0, nacked = 0, failed = 0, left = 0;  // left: the client went first
+  std::uint64_t taken = 0, served = 0, rejected = 0, failed = 0, left = 0;  // left: the client went first
   std::uint64_t served_ms = 0;  // from taking to answering, summed over those served
 };
 
@@ -21,9 +21,10 @@
   std::array<std::uint64_t, 8> attempts{};  // ended, by dispatch::Outcome
   std::uint64_t attempts_started = 0;
   std::uint64_t attempts_sent = 0;  // written whole to their instance
-  std::uint64_t repeats_barred = 0;
+  std::uint64_t repeats_rejected = 0;
   // Answered by a front itself, as no job could be read off them. By status, the ones that a front gives.
-  std::map<int, std::uint64_t> turned_away{{400, 0}, {405, 0}, {408, 0}, {413, 0}, {431, 0}, {503, 0}};
+  std::map<int, std::uint64_t> rejected_by_frontend{{400, 0}, {405, 0}, {408, 0},
+                                                    {413, 0}, {431, 0}, {503, 0}};
   std::uint64_t reconfigurations = 0, reconfigurations_refused = 0;
   std::uint64_t endpoint_list_updates = 0, endpoint_list_failures = 0;
   std::uint64_t open_requests = 0, open_attempts = 0;     // gauges
--- a/src/core/repeat_guard.h
+++ b/src/core/idempotency_tracker.h
@@ -1,7 +1,7 @@
 // Remembers jobs whose id outlives one try (a jid), so that a second push of one that may have run is held to
 // its class's repeat rule. Bounded: the oldest of those not in progress are forgotten first.
-#ifndef ALDERSILL_SRC_CORE_REPEAT_GUARD_H_
-#define ALDERSILL_SRC_CORE_REPEAT_GUARD_H_
+#ifndef ALDERSILL_SRC_CORE_IDEMPOTENCY_TRACKER_H_
+#define ALDERSILL_SRC_CORE_IDEMPOTENCY_TRACKER_H_
 
 #include <deque>
 #include <limits>
@@ -13,9 +13,9 @@
 
 namespace aldersill {
 
-class RepeatGuard {
+class IdempotencyTracker {
  public:
-  explicit RepeatGuard(std::size_t most = 50'000) : most_(most) {}
+  explicit IdempotencyTracker(std::size_t most = 50'000) : most_(most) {}
 
   enum class Verdict { kAdmit, kNotNow, kNever };
   static constexpr Micros kNever = std::numeric_limits<Micros>::max();
@@ -88,9 +88,9 @@
 
 // Ids that are new with every request: one that comes again is somebody else's. Bounded by number, which at
 // the platform's rates is many times the longest deadline.
-class TakenIds {
+class RecentRequestIds {
  public:
-  explicit TakenIds(std::size_t most = 20'000) : most_(most) {}
+  explicit RecentRequestIds(std::size_t most = 20'000) : most_(most) {}
   // False if it was taken before.
   bool Take(const std::string& id) {
     if (!ids_.insert(id).second)
@@ -111,4 +111,4 @@
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_CORE_REPEAT_GUARD_H_
+#endif  // ALDERSILL_SRC_CORE_IDEMPOTENCY_TRACKER_H_
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -80,17 +80,17 @@
   const auto [setting, counter] = job_class->second;
   ++counters_.classes[counter].taken;
   const dispatch::ClassSettings& c = settings_.module.classes[setting];
-  const RepeatGuard::Verdict verdict = e.job.guard_repeats ? repeats_.Judge(e.job.id, c, now_)
-                                       : e.job.id.empty() || taken_ids_.Take(e.job.id)
-                                           ? RepeatGuard::Verdict::kAdmit
-                                           : RepeatGuard::Verdict::kNever;
-  if (verdict != RepeatGuard::Verdict::kAdmit) {
-    const bool never = verdict == RepeatGuard::Verdict::kNever;
-    ++counters_.repeats_barred;
-    ++(never ? counters_.classes[counter].failed : counters_.classes[counter].nacked);
+  const IdempotencyTracker::Verdict verdict = e.job.has_idempotent_id ? repeats_.Judge(e.job.id, c, now_)
+                                              : e.job.id.empty() || recent_ids_.Take(e.job.id)
+                                                  ? IdempotencyTracker::Verdict::kAdmit
+                                                  : IdempotencyTracker::Verdict::kNever;
+  if (verdict != IdempotencyTracker::Verdict::kAdmit) {
+    const bool never = verdict == IdempotencyTracker::Verdict::kNever;
+    ++counters_.repeats_rejected;
+    ++(never ? counters_.classes[counter].failed : counters_.classes[counter].rejected);
     if (never)
       return Ask(Answer{e.client, Failure{Failure::Why::kRepeat}});
-    return Ask(Answer{e.client, Nack{Nack::Why::kRepeatOut, settings_.module.max_retry_after}});
+    return Ask(Answer{e.client, Rejection{Rejection::Why::kRepeatOut, settings_.module.max_retry_after}});
   }
   const std::uint64_t number = next_request_++;
   Request& r = requests_[number];
@@ -104,8 +104,8 @@
   // Nobody waits longer than its class allows, whatever it says: such a request would sit on what others
   // need.
   r.deadline = now_ + std::min(e.job.time_left, c.deadline) - margin;
-  r.start_by = e.job.guard_repeats ? repeats_.MayStartUntil(e.job.id, c) : RepeatGuard::kNever;
-  if (e.job.guard_repeats)
+  r.start_by = e.job.has_idempotent_id ? repeats_.MayStartUntil(e.job.id, c) : IdempotencyTracker::kNever;
+  if (e.job.has_idempotent_id)
     repeats_.Begin(e.job.id);
   r.job = std::make_shared<const Job>(std::move(e.job));
   by_client_[r.client] = number;
@@ -194,11 +194,11 @@
   const bool harmless = c.repeat == dispatch::Repeat::kRepeatable ||
                         (c.repeat == dispatch::Repeat::kKeyed && c.scope == dispatch::KeyScope::kAll);
   if (harmless || (!MayHaveRun(outcome) && !r.may_have_run))
-    return Finish(number, Nack{Nack::Why::kAfterAttempts, settings_.module.max_retry_after});
+    return Finish(number, Rejection{Rejection::Why::kAfterAttempts, settings_.module.max_retry_after});
   Finish(number, Failure{now_ >= r.deadline ? Failure::Why::kTooLate : Failure::Why::kFailed});
 }
 
-void Reducer::On(RequestTurnedAway&& e) { ++counters_.turned_away[e.status]; }
+void Reducer::On(RequestRejectedByFrontend&& e) { ++counters_.rejected_by_frontend[e.status]; }
 
 void Reducer::On(ClientLeft&& e) {
 #ifdef ALDERSILL_PLANT_LEAVING_UNTOLD  // planted where a search must find it
@@ -461,10 +461,10 @@
   const std::uint64_t number = static_cast<std::uint64_t>(a.request);
   const auto found = requests_.find(number);
   const bool tried = found != requests_.end() && !found->second.attempts.empty();
-  Finish(number, Nack{tried                          ? Nack::Why::kAfterAttempts
-                      : counters_.ready_workers == 0 ? Nack::Why::kNoWorker
-                                                     : Nack::Why::kNothingSent,
-                      wait});
+  Finish(number, Rejection{tried                          ? Rejection::Why::kAfterAttempts
+                           : counters_.ready_workers == 0 ? Rejection::Why::kNoWorker
+                                                          : Rejection::Why::kNothingSent,
+                           wait});
   ForgetIfDone(number);
 }
 
@@ -543,7 +543,7 @@
 #endif
   Request& r = requests_.at(x.request);
   // A connection to an instance can be closed; a session that has fetched goes on with it.
-  if (stop && x.sent && x.source == WorkerEndpoint::Source::kSession && r.job->guard_repeats) {
+  if (stop && x.sent && x.source == WorkerEndpoint::Source::kSession && r.job->has_idempotent_id) {
     repeats_.MarkAbandoned(r.job->id);
     abandoned_attempts_.emplace(number, r.job->id);
   }
@@ -575,9 +575,9 @@
     return;
   Request& r = found->second;
   ClassCounters& count = counters_.classes[r.counter];
-  ++(std::holds_alternative<Served>(answer) ? count.served
-     : std::holds_alternative<Nack>(answer) ? count.nacked
-                                            : count.failed);
+  ++(std::holds_alternative<Served>(answer)      ? count.served
+     : std::holds_alternative<Rejection>(answer) ? count.rejected
+                                                 : count.failed);
   by_client_.erase(r.client);
   Ask(Answer{r.client, std::move(answer)});
 }
@@ -591,7 +591,7 @@
   if (found == requests_.end() || found->second.open > 0)
     return;
   const Request& r = found->second;
-  if (r.job->guard_repeats)
+  if (r.job->has_idempotent_id)
     repeats_.End(r.job->id, r.first_run);
   if (r.module != kNoModule)
     --modules_.at(r.module).open;
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -15,7 +15,7 @@
 
 #include "aldersill/dispatch/dispatcher.h"
 #include "core/counters.h"
-#include "core/repeat_guard.h"
+#include "core/idempotency_tracker.h"
 #include "core/types.h"
 
 namespace aldersill {
@@ -73,7 +73,7 @@
   };
 
   void On(RequestTaken&& e);
-  void On(RequestTurnedAway&& e);
+  void On(RequestRejectedByFrontend&& e);
   void On(JobHandedAway&& e);
   void On(JobAdopted&& e);
   void On(ClientLeft&& e);
@@ -165,8 +165,8 @@
     int counter = 0;  // in counters_.classes
   };
   std::unordered_map<std::string, Class> class_of_;
-  RepeatGuard repeats_;
-  TakenIds taken_ids_;
+  IdempotencyTracker repeats_;
+  RecentRequestIds recent_ids_;
   Counters counters_;
 };
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -37,7 +37,8 @@
   std::string tenant;
   std::optional<std::uint64_t> subject;  // what the request is about: requests of one subject share data
   std::string idempotency_key;
-  bool guard_repeats = false;  // true where `id` outlives one try, so that the class's repeat rule binds it
+  bool has_idempotent_id =
+      false;  // true where `id` outlives one try, so that the class's repeat rule binds it
   std::string method = "POST";
   std::string target;
   std::string content_type;
@@ -94,7 +95,7 @@
   ClientRef client;
   Job job;
 };
-struct RequestTurnedAway {  // answered by its front, which could read no job off it
+struct RequestRejectedByFrontend {  // answered by its front, which could read no job off it
   ClientRef::Front front = ClientRef::Front::kHttp;
   int status = 400;
   std::string why;
@@ -165,7 +166,7 @@
   Micros elapsed = 0;
   LoadReport report;
 };
-using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestTurnedAway, ClientLeft,
+using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestRejectedByFrontend, ClientLeft,
                            AttemptConnected, AttemptSent, AttemptProgress, AttemptEnded,
                            AbandonedAttemptEnded, TimerDue, EndpointListUpdate, EndpointListWatchFailed,
                            EndpointListLease, ProbeCompleted, SettingsChanged, SettingsRefused, WorkerBanned>;
@@ -198,7 +199,7 @@
 struct Served {
   std::string result;
 };
-struct Nack {  // trying again is harmless, and welcome after this long
+struct Rejection {  // trying again is harmless, and welcome after this long
   // What the core knows of the refusal; why the module holds a job back is the module's own.
   enum class Why { kNothingSent, kNoWorker, kAfterAttempts, kRepeatOut } why = Why::kNothingSent;
   Micros retry_after = 0;
@@ -206,7 +207,7 @@
 struct Failure {
   enum class Why { kFailed, kTooLate, kRepeat } why = Why::kFailed;
 };
-using FinalAnswer = std::variant<Served, Nack, Failure>;
+using FinalAnswer = std::variant<Served, Rejection, Failure>;
 struct Answer {
   ClientRef client;
   FinalAnswer answer;
--- a/src/faktory/codec.cpp
+++ b/src/faktory/codec.cpp
@@ -75,7 +75,7 @@
       job.slots = static_cast<int>(slots->get<std::int64_t>());
     }
   }
-  job.guard_repeats = true;  // the jid outlives this push
+  job.has_idempotent_id = true;  // the jid outlives this push
   job.idempotency_key = job.id;
   job.target = "/" + job.job_class;
   job.content_type = "application/json";
@@ -146,7 +146,7 @@
 std::string EncodeFetched(const Job& job, Micros time_left) {
   const int reserve_for = static_cast<int>((time_left + kSecond - 1) / kSecond);
   Json json;
-  if (job.guard_repeats) {
+  if (job.has_idempotent_id) {
     json = Json::parse(job.body, nullptr, false);
   } else {
     json = {{"jid", job.id}, {"jobtype", job.job_class}, {"args", {job.body}}, {"custom", Json::object()}};
--- a/src/faktory/front.cpp
+++ b/src/faktory/front.cpp
@@ -24,8 +24,9 @@
 
 // What follows ERR: a nack tells when to come back, a failure promises nothing.
 std::string Describe(const FinalAnswer& answer) {
-  if (const auto* nack = std::get_if<Nack>(&answer))
-    return "NACK retry-after=" + DecimalSeconds(nack->retry_after) + " refused: pushing again is harmless";
+  if (const auto* rejection = std::get_if<Rejection>(&answer))
+    return "NACK retry-after=" + DecimalSeconds(rejection->retry_after) +
+           " refused: pushing again is harmless";
   switch (std::get<Failure>(answer).why) {
     case Failure::Why::kTooLate:
       return "FAILED no answer in time: it may have run";
--- a/src/http/client_front.cpp
+++ b/src/http/client_front.cpp
@@ -154,9 +154,9 @@
   void Reply(const FinalAnswer& answer) {
     if (const auto* served = std::get_if<Served>(&answer))
       return Write(200, served->result);
-    if (const auto* nack = std::get_if<Nack>(&answer))
+    if (const auto* rejection = std::get_if<Rejection>(&answer))
       return Write(503, "refused: trying again is harmless\n",
-                   "Retry-After: " + DecimalSeconds(nack->retry_after) + "\r\n");
+                   "Retry-After: " + DecimalSeconds(rejection->retry_after) + "\r\n");
     switch (std::get<Failure>(answer).why) {
       case Failure::Why::kTooLate:
         return Write(504, "no answer in time: it may have run\n");
@@ -298,19 +298,19 @@
       return front_->ready_() ? Write(200, "ready\n") : Write(503, "not ready: no worker list yet\n");
     const std::string id = IdOf(request);
     if (request.method != "POST") {
-      front_->TurnedAway(405, "jobs come by POST", id);
+      front_->CountRejection(405, "jobs come by POST", id);
       return Write(405, "jobs come by POST\n", "Allow: POST\r\n");
     }
     Job job;
     try {
       job = DecodeJob(std::move(request), front_->settings_.keyed);
     } catch (const BadMessage& e) {
-      front_->TurnedAway(400, e.what(), id);
+      front_->CountRejection(400, e.what(), id);
       return Write(400, std::string(e.what()) + "\n");
     }
     if (const auto left = front_->LeftWhileDraining()) {
       if (*left < kTooLittle && *left < job.time_left / 2) {
-        front_->TurnedAway(503, "too late in a drain", id);
+        front_->CountRejection(503, "too late in a drain", id);
         return Write(503, "refused: trying again is harmless\n",
                      "Retry-After: " + DecimalSeconds(kBusyAdvice) + "\r\n");
       }
@@ -326,7 +326,7 @@
   void Refuse(int code, const std::string& why) {
     keep_ = false;
     ThrowAwayRest();
-    front_->TurnedAway(code, why, IdOf(reader_.request()));
+    front_->CountRejection(code, why, IdOf(reader_.request()));
     Write(code, why + "\n", code == 503 ? "Retry-After: " + DecimalSeconds(kBusyAdvice) + "\r\n" : "");
   }
 
@@ -416,8 +416,8 @@
       drain_timer_(base, [this] { CloseIdle(); }),
       leave_timer_(base, [this] { StopListening(); }),
       room_timer_(base, [this] { MindTheDoor(); }),
-      turned_away_timer_(base, [this] { TellTurnedAway(false); }) {}
-ClientFront::~ClientFront() { TellTurnedAway(true); }
+      rejections_timer_(base, [this] { LogRejections(false); }) {}
+ClientFront::~ClientFront() { LogRejections(true); }
 
 EventPtr<evconnlistener> ClientFront::Open(const Endpoint& listen) {
   EventPtr<evconnlistener> listener =
@@ -513,20 +513,20 @@
     sink_->Tell(ClientLeft{{ClientRef::Front::kHttp, client}});
 }
 
-void ClientFront::TurnedAway(int status, const std::string& why, const std::string& id) {
-  sink_->Tell(RequestTurnedAway{ClientRef::Front::kHttp, status, why, id});
-  turned_away_.Add(status, why, id);
-  TellTurnedAway(false);
+void ClientFront::CountRejection(int status, const std::string& why, const std::string& id) {
+  sink_->Tell(RequestRejectedByFrontend{ClientRef::Front::kHttp, status, why, id});
+  rejections_.Add(status, why, id);
+  LogRejections(false);
 }
 
-void ClientFront::TellTurnedAway(bool all) {
+void ClientFront::LogRejections(bool all) {
   const Micros now = SteadyNow();
-  for (const TurnedAwayNotices::Notice& n : turned_away_.Take(now, all)) {
+  for (const RejectionLogThrottle::Notice& n : rejections_.Take(now, all)) {
     Log(LogLevel::kWarning, "requests_turned_away",
         {{"status", n.status}, {"why", n.why}, {"count", n.count}, {"example", n.example}});
   }
-  if (const auto wait = turned_away_.NextIn(now))
-    turned_away_timer_.Set(std::max<Micros>(1, *wait));
+  if (const auto wait = rejections_.NextIn(now))
+    rejections_timer_.Set(std::max<Micros>(1, *wait));
 }
 
 void ClientFront::Reply(std::uint64_t client, const FinalAnswer& answer) {
--- a/src/http/client_front.h
+++ b/src/http/client_front.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 
 #include "core/types.h"
-#include "http/turned_away.h"
+#include "http/rejection_log_throttle.h"
 #include "net/event_loop.h"
 
 namespace aldersill {
@@ -76,8 +76,8 @@
   static void OnAcceptFailed(evconnlistener* listener, void* self);
   void Remove(Connection* connection);
   // One that the front answers itself: counted by the core, and told in the log.
-  void TurnedAway(int status, const std::string& why, const std::string& id);
-  void TellTurnedAway(bool all);
+  void CountRejection(int status, const std::string& why, const std::string& id);
+  void LogRejections(bool all);
   // Ends the connection that can best be spared for the next newcomer; false if there is none.
   bool MakeRoom();
   void MindTheDoor();
@@ -100,8 +100,8 @@
   Timer drain_timer_;
   Timer leave_timer_;
   Timer room_timer_;
-  TurnedAwayNotices turned_away_;
-  Timer turned_away_timer_;
+  RejectionLogThrottle rejections_;
+  Timer rejections_timer_;
   std::size_t unfinished_bytes_ = 0;
   Micros last_accept_ = 0;
   Micros drain_began_ = 0;
--- a/src/http/turned_away.h
+++ b/src/http/rejection_log_throttle.h
@@ -1,8 +1,8 @@
 // What is told of the requests that a front answers itself: the first of each reason at once, then one notice
 // a reason every so often, so that a client that gets all of its requests wrong is seen and floods no log.
 // Pure: told the time, it logs nothing.
-#ifndef ALDERSILL_SRC_HTTP_TURNED_AWAY_H_
-#define ALDERSILL_SRC_HTTP_TURNED_AWAY_H_
+#ifndef ALDERSILL_SRC_HTTP_REJECTION_LOG_THROTTLE_H_
+#define ALDERSILL_SRC_HTTP_REJECTION_LOG_THROTTLE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace aldersill {
 
-class TurnedAwayNotices {
+class RejectionLogThrottle {
  public:
   static constexpr Micros kEvery = 10 * kSecond;
 
@@ -71,4 +71,4 @@
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_HTTP_TURNED_AWAY_H_
+#endif  // ALDERSILL_SRC_HTTP_REJECTION_LOG_THROTTLE_H_
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -28,7 +28,7 @@
          {"retry", e.job.is_retry},
          {"left_ms", e.job.time_left / kMillisecond}});
   }
-  void operator()(const RequestTurnedAway& e) const {
+  void operator()(const RequestRejectedByFrontend& e) const {
     Log(LogLevel::kDebug, "request_turned_away",
         {{"front", e.front == ClientRef::Front::kHttp ? "http" : "faktory"},
          {"id", e.id},
@@ -85,9 +85,9 @@
     Log(LogLevel::kDebug, "probe_sent", {{"instance", e.worker}});
   }
   void operator()(const Answer& e) const {
-    const auto* nack = std::get_if<Nack>(&e.answer);
+    const auto* rejection = std::get_if<Rejection>(&e.answer);
     const auto* failure = std::get_if<Failure>(&e.answer);
-    const char* what = nack != nullptr                          ? "nack"
+    const char* what = rejection != nullptr                     ? "nack"
                        : failure == nullptr                     ? "served"
                        : failure->why == Failure::Why::kTooLate ? "too_late"
                        : failure->why == Failure::Why::kRepeat  ? "repeat"
@@ -95,8 +95,8 @@
     Log(LogLevel::kDebug, "request_answered",
         {{"client", e.client.number},
          {"what", what},
-         {"retry_after_ms", nack != nullptr ? nack->retry_after / kMillisecond : 0},
-         {"why", nack != nullptr ? kRefusals[static_cast<std::size_t>(nack->why)] : ""}});
+         {"retry_after_ms", rejection != nullptr ? rejection->retry_after / kMillisecond : 0},
+         {"why", rejection != nullptr ? kRefusals[static_cast<std::size_t>(rejection->why)] : ""}});
   }
   void operator()(const auto&) const {}
 };
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -26,7 +26,7 @@
   scalar(ToGauge(c.ready_workers));
   scalar(ToGauge(c.draining_workers));
   scalar(Counter{c.attempts_started});
-  scalar(Counter{c.repeats_barred});
+  scalar(Counter{c.repeats_rejected});
   scalar(Counter{c.endpoint_list_updates});
   scalar(Counter{c.endpoint_list_failures});
   // Tables: {table, entry, column, index}.
@@ -34,14 +34,14 @@
     const ClassCounters& k = c.classes[i];
     objects[{2, 1, 2, i + 1}] = k.name;
     column = 2;
-    for (const std::uint64_t count : {k.taken, k.served, k.nacked, k.failed, k.left, k.served_ms})
+    for (const std::uint64_t count : {k.taken, k.served, k.rejected, k.failed, k.left, k.served_ms})
       objects[{2, 1, ++column, i + 1}] = Counter{count};
   }
   for (std::uint64_t i = 0; i < c.attempts.size(); ++i) {
     objects[{3, 1, 2, i + 1}] = std::string(kOutcomes[i]);
     objects[{3, 1, 3, i + 1}] = Counter{c.attempts[i]};
   }
-  for (const auto& [status, count] : c.turned_away)
+  for (const auto& [status, count] : c.rejected_by_frontend)
     objects[{7, 1, 2, static_cast<std::uint64_t>(status)}] = Counter{count};
   return objects;
 }
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -36,7 +36,7 @@
 
 TEST_CASE("figures are statsd lines, and classes keep their order") {
   Counters counters;
-  counters.classes = {{.name = "b", .served = 812, .nacked = 3, .failed = 1}, {.name = "a"}};
+  counters.classes = {{.name = "b", .served = 812, .rejected = 3, .failed = 1}, {.name = "a"}};
   counters.attempts_sent = 900;
   counters.waiting_clients = 14;
   counters.ready_workers = 5;
--- a/tests/daemon/core_test.cpp
+++ b/tests/daemon/core_test.cpp
@@ -60,7 +60,7 @@
            Micros time_left = kSecond) {
     Job job;
     job.id = id;
-    job.guard_repeats = !id.empty();
+    job.has_idempotent_id = !id.empty();
     job.job_class = job_class;
     job.tenant = "t";
     job.time_left = time_left;
@@ -178,7 +178,7 @@
   for (const char* job_class : {"safe", "keyed", "once"}) {
     b.Ask(3, job_class);
     CHECK(b.Effects<StartAttempt>().empty());
-    CHECK(std::get<Nack>(b.Only<Answer>().answer).retry_after > 0);
+    CHECK(std::get<Rejection>(b.Only<Answer>().answer).retry_after > 0);
   }
   b.News(EndpointListUpdate::Form::kCached,
          {Bench::Worker("a"), Bench::Worker("b")});  // of a source that was left
@@ -351,7 +351,7 @@
     CHECK(b.Only<StopAttempt>().attempt == second.attempt);
     CHECK(b.Effects<StartAttempt>().empty());
     // Its repeats are dropped wherever they come.
-    CHECK(std::holds_alternative<Nack>(b.Only<Answer>().answer));
+    CHECK(std::holds_alternative<Rejection>(b.Only<Answer>().answer));
     CHECK(b.core().counters().attempts[static_cast<std::size_t>(Outcome::kNotSent)] == 1);
     CHECK(b.core().Quiet());
   }
@@ -456,7 +456,7 @@
       if (again)
         continue;
       const auto answer = b.Only<Answer>().answer;
-      CHECK(std::holds_alternative<Nack>(answer) == (end.never_ran || job_class != "once"));
+      CHECK(std::holds_alternative<Rejection>(answer) == (end.never_ran || job_class != "once"));
       CHECK(b.core().Quiet());
     }
   }
@@ -467,7 +467,7 @@
   b.News(EndpointListUpdate::Form::kDelta, {Bench::Worker("a", WorkerEndpoint::State::kGone)});
   for (const char* job_class : {"safe", "keyed", "once"}) {
     b.Ask(1, job_class);
-    CHECK(std::get<Nack>(b.Only<Answer>().answer).retry_after > 0);
+    CHECK(std::get<Rejection>(b.Only<Answer>().answer).retry_after > 0);
   }
 }
 
@@ -530,7 +530,7 @@
   CHECK(b.Effects<Answer>().size() == 1);
   b.Ask(2, "safe", "x");
   CHECK(b.Effects<StartAttempt>().empty());
-  CHECK(std::get<Nack>(b.Only<Answer>().answer).retry_after > 0);
+  CHECK(std::get<Rejection>(b.Only<Answer>().answer).retry_after > 0);
   b.Tell(AbandonedAttemptEnded{start.attempt});
   b.Ask(3, "safe", "x");
   CHECK(b.Effects<StartAttempt>().size() == 1);
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -136,7 +136,7 @@
     const bool unsafe = repeat == Repeat::kUnsafe;
     CHECK(std::holds_alternative<Served>(AnswerToAdopted(repeat, Outcome::kServed)));
     CHECK(std::holds_alternative<Failure>(AnswerToAdopted(repeat, Outcome::kLost)) == unsafe);
-    CHECK(std::holds_alternative<Nack>(AnswerToAdopted(repeat, Outcome::kFull)));
+    CHECK(std::holds_alternative<Rejection>(AnswerToAdopted(repeat, Outcome::kFull)));
     CHECK(std::holds_alternative<Failure>(AnswerToAdopted(repeat, Outcome::kFull, true)) == unsafe);
   }
 }
