--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -22,7 +22,8 @@
   std::uint64_t attempts_started = 0;
   std::uint64_t attempts_sent = 0;  // written whole to their instance
   std::uint64_t repeats_rejected = 0;
-  // Answered by a front itself, as no job could be read off them. By status, the ones that a front gives.
+  // Answered by a frontend itself, as no job could be read off them. By status, the ones that a frontend
+  // gives.
   std::map<int, std::uint64_t> rejected_by_frontend{{400, 0}, {405, 0}, {408, 0},
                                                     {413, 0}, {431, 0}, {503, 0}};
   std::uint64_t reconfigurations = 0, reconfigurations_refused = 0;
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -73,7 +73,7 @@
 
 void Reducer::On(RequestTaken&& e) {
   const auto job_class = class_of_.find(e.job.job_class);
-  if (job_class == class_of_.end()) {  // fronts answer these themselves; whoever doesn't must not crash us
+  if (job_class == class_of_.end()) {  // frontends answer these themselves; whoever doesn't must not crash us
     Ask(Answer{e.client, Failure{}});
     return;
   }
@@ -117,7 +117,7 @@
   std::vector<JobInHand> jobs;
   for (const auto& [client, number] : by_client_) {
     const Request& r = requests_.at(number);
-    if (client.front != ClientRef::Front::kHttp || r.open > 1)
+    if (client.frontend != ClientRef::Frontend::kHttp || r.open > 1)
       continue;
     JobInHand in_hand{client, r.job, r.deadline - now_, r.first_run != 0 || r.may_have_run, {}, ""};
     if (r.open == 1) {
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// The vocabulary of the core: what fronts and links tell it (events) and what it asks of them (effects).
+// The vocabulary of the core: what frontends and links tell it (events) and what it asks of them (effects).
 // Nothing here names a wire, a socket, JSON or a clock.
 #ifndef ALDERSILL_SRC_CORE_TYPES_H_
 #define ALDERSILL_SRC_CORE_TYPES_H_
@@ -21,16 +21,17 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-// A service client's request at the front that took it. The front chooses `number`; the core hands it back.
+// A service client's request at the frontend that took it. The frontend chooses `number`; the core hands it
+// back.
 struct ClientRef {
-  enum class Front { kHttp, kFaktory } front = Front::kHttp;
+  enum class Frontend { kHttp, kFaktory } frontend = Frontend::kHttp;
   std::uint64_t number = 0;
   auto operator<=>(const ClientRef&) const = default;
 };
 
 enum class AttemptId : std::uint64_t {};  // one attempt, over the life of the process
 
-// What a service client asked for, decoded once by its front and encoded once by the link that runs it.
+// What a service client asked for, decoded once by its frontend and encoded once by the link that runs it.
 struct Job {
   std::string id;  // the client's own: Req-Id, jid
   std::string job_class;
@@ -95,8 +96,8 @@
   ClientRef client;
   Job job;
 };
-struct RequestRejectedByFrontend {  // answered by its front, which could read no job off it
-  ClientRef::Front front = ClientRef::Front::kHttp;
+struct RequestRejectedByFrontend {  // answered by its frontend, which could read no job off it
+  ClientRef::Frontend frontend = ClientRef::Frontend::kHttp;
   int status = 400;
   std::string why;
   std::string id;  // empty where none was read
@@ -240,7 +241,7 @@
   std::string worker;                // that runs it
 };
 
-// Takes events in; handed to every front and link, so that none of them knows the reducer or another.
+// Takes events in; handed to every frontend and link, so that none of them knows the reducer or another.
 class EventSink {
  public:
   virtual ~EventSink() = default;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -106,8 +106,8 @@
 void Daemon::Do(const StartAttempt& e) {
   // A client's end may have come with its request, or in the same moment as the news that made this attempt:
   // then it lies unread, and the attempt would begin for nobody.
-  const auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)];
-  if (door != nullptr && door->HasLeft(e.client.number)) {
+  const auto* response_sink = offers_.response_sinks[static_cast<std::size_t>(e.client.frontend)];
+  if (response_sink != nullptr && response_sink->HasLeft(e.client.number)) {
     Tell(ClientLeft{e.client});
     return Tell(AttemptEnded{e.attempt, Outcome::kNotSent, "", {}});
   }
@@ -127,8 +127,8 @@
     runner->Stop(e.attempt);
 }
 void Daemon::Do(const Answer& e) {
-  if (auto* door = offers_.doors[static_cast<std::size_t>(e.client.front)])
-    door->Reply(e.client.number, e.answer);
+  if (auto* response_sink = offers_.response_sinks[static_cast<std::size_t>(e.client.frontend)])
+    response_sink->Reply(e.client.number, e.answer);
 }
 void Daemon::Do(const ProbeWorker& e) {
   if (offers_.probe)
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-JobTransfer::JobTransfer(const Surroundings& around, ClientFront* clients, WorkerClient* workers)
+JobTransfer::JobTransfer(const Surroundings& around, HttpFrontend* clients, WorkerClient* workers)
     : around_(around), clients_(clients), workers_(workers), again_(around.base, [this] { SendAll(); }) {}
 
 void JobTransfer::ReceiveAt(const std::string& path) {
@@ -75,7 +75,7 @@
   }
   const std::uint64_t number =
       clients_->AdoptHeld({descriptors[0], transferred->keep_alive, transferred->head_only});
-  const ClientRef client{ClientRef::Front::kHttp, number};
+  const ClientRef client{ClientRef::Frontend::kHttp, number};
   if (!transferred->running)
     return around_.sink->Tell(RequestTaken{client, std::move(transferred->job)});
   const std::uint64_t resume = next_++;
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "daemon/part.h"
-#include "http/client_front.h"
+#include "http/frontend.h"
 #include "http/worker_client.h"
 #include "upgrade/descriptor_channel.h"
 #include "upgrade/job_codec.h"
@@ -20,7 +20,7 @@
 
 class JobTransfer {
  public:
-  JobTransfer(const Surroundings& around, ClientFront* clients, WorkerClient* workers);
+  JobTransfer(const Surroundings& around, HttpFrontend* clients, WorkerClient* workers);
 
   // Where jobs come to this process. Throws std::runtime_error if it cannot listen there.
   void ReceiveAt(const std::string& path);
@@ -40,7 +40,7 @@
   void Receive(std::string_view message, std::vector<int> descriptors);
 
   const Surroundings around_;
-  ClientFront* clients_;
+  HttpFrontend* clients_;
   WorkerClient* workers_;
   std::unique_ptr<upgrade::DescriptorReceiver> receiver_;
   std::unique_ptr<upgrade::DescriptorSender> sender_;
--- a/src/daemon/part.h
+++ b/src/daemon/part.h
@@ -1,5 +1,5 @@
-// What a part of the daemon (fronts and links of one wire, an agent) offers to the wiring and is told by it.
-// Daemon holds a list of parts and knows none of them by name: a new part is a file of its own, made in
+// What a part of the daemon (frontends and links of one wire, an agent) offers to the wiring and is told by
+// it. Daemon holds a list of parts and knows none of them by name: a new part is a file of its own, made in
 // parts.cpp. All on the loop's thread.
 #ifndef ALDERSILL_SRC_DAEMON_PART_H_
 #define ALDERSILL_SRC_DAEMON_PART_H_
@@ -29,9 +29,9 @@
   virtual void Stop(AttemptId attempt) = 0;
 };
 
-class ClientDoor {
+class ResponseSink {
  public:
-  virtual ~ClientDoor() = default;
+  virtual ~ResponseSink() = default;
   virtual void Reply(std::uint64_t client, const FinalAnswer& answer) = 0;
   // Whether it has gone, though nobody has been told yet.
   virtual bool HasLeft(std::uint64_t) const { return false; }
@@ -40,7 +40,7 @@
 // Where the core's effects go, and what else a part has for others. A place that nobody has taken is empty.
 struct Offers {
   std::array<AttemptTransport*, 2> attempt_transports{};  // by Instance::Source
-  std::array<ClientDoor*, 2> doors{};                     // by ClientRef::Front
+  std::array<ResponseSink*, 2> response_sinks{};          // by ClientRef::Front
   std::function<void(const ProbeWorker&)> probe;
   // The same for a part's own sake: what comes of it goes to the function alone, once.
   std::function<void(const ProbeWorker&, std::function<void(ProbeCompleted)>)> probe_for;
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_part.cpp
@@ -6,8 +6,8 @@
 #include "core/readiness.h"
 #include "daemon/job_transfer.h"
 #include "daemon/parts.h"
-#include "http/client_front.h"
 #include "http/discovery.h"
+#include "http/frontend.h"
 #include "http/worker_client.h"
 #include "log/log.h"
 
@@ -18,8 +18,8 @@
 constexpr Micros kQuietFor = 300 * kMillisecond;
 constexpr Micros kLookIfReadyEvery = 20 * kMillisecond;
 
-ClientFrontSettings ForClients(const Config& c) {
-  ClientFrontSettings s;
+HttpFrontendSettings ForClients(const Config& c) {
+  HttpFrontendSettings s;
   for (const auto& job_class : c.module.classes) {
     s.keyed[job_class.name] = job_class.repeat == dispatch::Repeat::kKeyed;
     s.longest_deadline = std::max(s.longest_deadline, job_class.deadline);
@@ -54,7 +54,7 @@
           CallPacing(c.module.nodes, c.module.must_ask_in / 2, c.seed)};
 }
 
-class PlatformPart : public Part, public AttemptTransport, public ClientDoor {
+class PlatformPart : public Part, public AttemptTransport, public ResponseSink {
  public:
   explicit PlatformPart(const Surroundings& around) : around_(around) {}
 
@@ -66,8 +66,8 @@
     // Where lists are pushed the module does not ask, and what the agent has counts as told from the start.
     if (discovery_ != nullptr && !c.module.subscribe)
       discovery_->Watch();
-    clients_ = std::make_unique<ClientFront>(around_.base, c.listen, ForClients(c), around_.sink,
-                                             [this] { return Ready(); });
+    clients_ = std::make_unique<HttpFrontend>(around_.base, c.listen, ForClients(c), around_.sink,
+                                              [this] { return Ready(); });
     limits_ = LimitsOf(c);
     around_.offers->share_descriptors = [this](int processes) {
       processes_ = processes;
@@ -85,7 +85,7 @@
     discovered_at_ = c.discovery;
     Offers& offers = *around_.offers;
     offers.attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kDiscovery)] = this;
-    offers.doors[static_cast<std::size_t>(ClientRef::Front::kHttp)] = this;
+    offers.response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kHttp)] = this;
     offers.watch_endpoint_list = [this] {
       if (discovery_ != nullptr)
         discovery_->Watch();
@@ -110,12 +110,12 @@
 
   void Prepare(const Config& next) override {
     if (!(next.listen == listen_))
-      door_ = clients_->Open(next.listen);
+      response_sink_ = clients_->Open(next.listen);
   }
-  void Abandon() override { door_.reset(); }
+  void Abandon() override { response_sink_.reset(); }
   void Adopt(const Config& c) override {
     limits_ = LimitsOf(c);
-    ApplyLimits(std::move(door_));
+    ApplyLimits(std::move(response_sink_));
     listen_ = c.listen;
   }
   void Adopted(const Config& c) override {
@@ -142,7 +142,8 @@
     around_.offers->tell_listening(false);
     // They are numbered as they came; newcomers go to the newest of the others.
     if (others.count() > 0 && clients_->Listens())
-      clients_->LeaveNewcomersTo(static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1));
+      clients_->RouteNewConnectionsTo(
+          static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1));
     if (others.count() > 0)
       transfer_->SendTo(around_.offers->other_job_socket());
   }
@@ -163,13 +164,13 @@
   }
   // What the dispatcher may hold, over all its processes.
   struct Limits {
-    ClientFrontSettings clients;
+    HttpFrontendSettings clients;
     Micros dial_timeout = 0;
     int workers = 0;
   };
   static Limits LimitsOf(const Config& c) { return {ForClients(c), c.dial_timeout, Shares(c).workers}; }
   void ApplyLimits(EventPtr<evconnlistener> listener) {
-    ClientFrontSettings clients = limits_.clients;
+    HttpFrontendSettings clients = limits_.clients;
     clients.most_connections /= static_cast<std::size_t>(processes_);
     clients_->Adopt(std::move(clients), std::move(listener));
     workers_->Adopt(limits_.dial_timeout, limits_.workers / processes_);
@@ -202,11 +203,11 @@
   int processes_ = 1;
   std::unique_ptr<WorkerClient> workers_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<ClientFront> clients_;
+  std::unique_ptr<HttpFrontend> clients_;
   std::unique_ptr<JobTransfer> transfer_;
   Endpoint listen_;
   std::optional<Endpoint> discovered_at_;
-  EventPtr<evconnlistener> door_;  // opened for a configuration that is not yet taken over
+  EventPtr<evconnlistener> response_sink_;  // opened for a configuration that is not yet taken over
 };
 
 }  // namespace
--- a/src/faktory/codec.h
+++ b/src/faktory/codec.h
@@ -39,13 +39,13 @@
 std::vector<Pushed> DecodePushBulk(std::string_view json, const ClassDeadlines& classes);
 std::string EncodePushBulkReply(const std::vector<std::pair<std::string, std::string>>& errors);
 
-// What a worker fetches. A job that came by PUSH goes out as it came; one from the platform's front is told
-// as jid, jobtype, one argument (the body) and, in custom, what its path, key and tenant were.
+// What a worker fetches. A job that came by PUSH goes out as it came; one from the platform's frontend is
+// told as jid, jobtype, one argument (the body) and, in custom, what its path, key and tenant were.
 std::string EncodeFetched(const Job& job, Micros time_left);
 
 struct Ack {
   std::string jid;
-  std::string result;  // an extension: what a client of the platform's front gets as its answer
+  std::string result;  // an extension: what a client of the platform's frontend gets as its answer
 };
 Ack DecodeAck(std::string_view json);
 
--- a/src/faktory/front.cpp
+++ b/src/faktory/frontend.cpp
@@ -1,4 +1,4 @@
-#include "faktory/front.h"
+#include "faktory/frontend.h"
 
 #include <sys/ioctl.h>
 
@@ -41,12 +41,12 @@
 }  // namespace
 
 // One connection: a producer's, or one of a worker's.
-class Front::Session {
+class Frontend::Session {
  public:
-  Session(Front* front, evutil_socket_t fd)
-      : front_(front),
-        stream_(bufferevent_socket_new(front->base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)),
-        timer_(front->base_, [this] { OnTimer(); }) {
+  Session(Frontend* frontend, evutil_socket_t fd)
+      : frontend_(frontend),
+        stream_(bufferevent_socket_new(frontend->base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)),
+        timer_(frontend->base_, [this] { OnTimer(); }) {
     bufferevent_setcb(stream_.get(), &Session::OnRead, &Session::OnWritten, &Session::OnEvent, this);
     bufferevent_setwatermark(stream_.get(), EV_READ, 0, 2 * kMostLine);
     bufferevent_set_timeouts(stream_.get(), nullptr, &kWriteWithin);
@@ -108,25 +108,25 @@
   static void OnRead(bufferevent*, void* arg) { static_cast<Session*>(arg)->Serve(); }
   static void OnWritten(bufferevent* stream, void* arg) {
     auto* s = static_cast<Session*>(arg);
-    const Micros drain_began = s->front_->drain_began_;
+    const Micros drain_began = s->frontend_->drain_began_;
     // In a drain a producer that pushes again at once is never seen idle later: its replies are where it can
     // end.
     const bool between = drain_began != 0 && s->worker_.empty() && s->Idle(drain_began);
     if (between || (s->state_ == State::kEnding && evbuffer_get_length(bufferevent_get_output(stream)) == 0))
-      s->front_->Remove(s);
+      s->frontend_->Remove(s);
   }
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* s = static_cast<Session*>(arg);
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0)
-      s->front_->Remove(s);
+      s->frontend_->Remove(s);
   }
 
   void OnTimer() {
     if (state_ == State::kGreeting)
-      return front_->Remove(this);  // never said HELLO
+      return frontend_->Remove(this);  // never said HELLO
     if (state_ != State::kFetching)
       return;
-    front_->Unpark(this);
+    frontend_->Unpark(this);
     Answer(NullBulk());
   }
 
@@ -172,11 +172,11 @@
       state_ = State::kReady;
       Write(SimpleString("OK"));
       if (!hello.wid.empty())
-        front_->Enter(this, hello);
+        frontend_->Enter(this, hello);
       return;
     }
     if (!worker_.empty())
-      front_->Heard(worker_);
+      frontend_->Heard(worker_);
     if (c.verb == "PUSH")
       return Push(c.argument);
     if (c.verb == "PUSHB")
@@ -184,14 +184,15 @@
     if (c.verb == "FETCH")
       return Fetch();
     if (c.verb == "ACK")
-      return Write(front_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kServed));
+      return Write(frontend_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kServed));
     if (c.verb == "FAIL")
-      return Write(front_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kError));
+      return Write(frontend_->Acknowledge(NeedWorker(), DecodeAck(c.argument), Outcome::kError));
     if (c.verb == "BEAT")
-      return Write(front_->Hear(NeedWorker(), DecodeBeat(c.argument)));
+      return Write(frontend_->Hear(NeedWorker(), DecodeBeat(c.argument)));
     if (c.verb == "INFO") {
-      return Write(BulkString(EncodeInfo({front_->sessions_.size(), front_->workers_.size(), front_->pushed_,
-                                          front_->done_, front_->failed_, SteadyNow() - front_->began_})));
+      return Write(
+          BulkString(EncodeInfo({frontend_->sessions_.size(), frontend_->workers_.size(), frontend_->pushed_,
+                                 frontend_->done_, frontend_->failed_, SteadyNow() - frontend_->began_})));
     }
     if (c.verb == "END") {
       state_ = State::kEnding;
@@ -209,13 +210,13 @@
   }
 
   void Push(const std::string& argument) {
-    Job job = DecodePush(argument, front_->settings_.classes);
+    Job job = DecodePush(argument, frontend_->settings_.classes);
     state_ = State::kPushing;
-    front_->Take(this, std::move(job));
+    frontend_->Take(this, std::move(job));
   }
 
   void PushBulk(const std::string& argument) {
-    std::vector<Pushed> jobs = DecodePushBulk(argument, front_->settings_.classes);
+    std::vector<Pushed> jobs = DecodePushBulk(argument, frontend_->settings_.classes);
     state_ = State::kBulk;
     bulk_errors_.clear();
     bulk_jids_.clear();
@@ -225,8 +226,8 @@
         bulk_errors_.emplace_back(pushed.jid, pushed.error);
         continue;
       }
-      bulk_jids_[front_->next_client_] = pushed.jid;
-      front_->Take(this, std::move(*pushed.job));
+      bulk_jids_[frontend_->next_client_] = pushed.jid;
+      frontend_->Take(this, std::move(*pushed.job));
     }
     filling_ = false;
     if (pushes_.empty())
@@ -238,13 +239,13 @@
   void Fetch() {
     NeedWorker();
     state_ = State::kFetching;
-    timer_.Set(front_->settings_.fetch_wait);
-    front_->Park(this);
+    timer_.Set(frontend_->settings_.fetch_wait);
+    frontend_->Park(this);
   }
 
-  friend class Front;
+  friend class Frontend;
 
-  Front* front_;
+  Frontend* frontend_;
   EventPtr<bufferevent> stream_;
   Timer timer_;
   const Micros accepted_ = SteadyNow();
@@ -256,7 +257,7 @@
   bool filling_ = false;
 };
 
-Front::Front(event_base* base, FrontSettings settings, EventSink* sink)
+Frontend::Frontend(event_base* base, FrontendSettings settings, EventSink* sink)
     : base_(base),
       settings_(std::move(settings)),
       sink_(sink),
@@ -264,13 +265,13 @@
       drain_timer_(base, [this] { CloseIdle(); }) {
   listener_ = Open(settings_.listen);
 }
-Front::~Front() = default;
+Frontend::~Frontend() = default;
 
-EventPtr<evconnlistener> Front::Open(const Endpoint& listen) {
-  return ListenOn(base_, listen, "faktory.listen", &Front::OnAccept, this);
+EventPtr<evconnlistener> Frontend::Open(const Endpoint& listen) {
+  return ListenOn(base_, listen, "faktory.listen", &Frontend::OnAccept, this);
 }
 
-void Front::Adopt(FrontSettings settings, EventPtr<evconnlistener> listener) {
+void Frontend::Adopt(FrontendSettings settings, EventPtr<evconnlistener> listener) {
   settings_ = std::move(settings);
   if (listener == nullptr)
     return;
@@ -281,33 +282,33 @@
   listener_ = std::move(listener);
 }
 
-int Front::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
+int Frontend::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
 
-void Front::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-  auto* front = static_cast<Front*>(arg);
-  if (front->sessions_.size() >= static_cast<std::size_t>(front->settings_.most_connections)) {
-    Log(LogLevel::kWarning, "faktory_sessions_full", {{"sessions", front->sessions_.size()}});
+void Frontend::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
+  auto* frontend = static_cast<Frontend*>(arg);
+  if (frontend->sessions_.size() >= static_cast<std::size_t>(frontend->settings_.most_connections)) {
+    Log(LogLevel::kWarning, "faktory_sessions_full", {{"sessions", frontend->sessions_.size()}});
     evutil_closesocket(fd);
     return;
   }
-  auto session = std::make_unique<Session>(front, fd);
+  auto session = std::make_unique<Session>(frontend, fd);
   Session* raw = session.get();
-  front->sessions_.emplace(raw, std::move(session));
+  frontend->sessions_.emplace(raw, std::move(session));
 }
 
-void Front::BeginDrain() {
+void Frontend::BeginDrain() {
   if (drain_began_ != 0)
     return;
   drain_began_ = SteadyNow();
   CloseIdle();
 }
 
-void Front::Close() {
+void Frontend::Close() {
   listener_.reset();
   BeginDrain();
 }
 
-void Front::CloseIdle() {
+void Frontend::CloseIdle() {
   std::vector<Session*> idle;
   for (const auto& [raw, owned] : sessions_) {
     if (raw->worker().empty() && raw->Idle(drain_began_))
@@ -318,23 +319,23 @@
   drain_timer_.Set(kCloseEvery);
 }
 
-bool Front::Quiet() const {
+bool Frontend::Quiet() const {
   return std::all_of(sessions_.begin(), sessions_.end(),
                      [](const auto& session) { return !session.first->worker().empty(); });
 }
 
 // ---- Producers ----
 
-std::uint64_t Front::Take(Session* session, Job job) {
+std::uint64_t Frontend::Take(Session* session, Job job) {
   const std::uint64_t client = next_client_++;
   clients_[client] = session;
   session->pushes_.push_back(client);
   ++pushed_;
-  sink_->Tell(RequestTaken{{ClientRef::Front::kFaktory, client}, std::move(job)});
+  sink_->Tell(RequestTaken{{ClientRef::Frontend::kFaktory, client}, std::move(job)});
   return client;
 }
 
-void Front::Reply(std::uint64_t client, const FinalAnswer& answer) {
+void Frontend::Reply(std::uint64_t client, const FinalAnswer& answer) {
   const auto found = clients_.find(client);
   if (found == clients_.end())
     return;
@@ -346,7 +347,7 @@
 
 // ---- Workers ----
 
-void Front::Enter(Session* session, const Hello& hello) {
+void Frontend::Enter(Session* session, const Hello& hello) {
   const std::string name = kPrefix + hello.wid;
   session->BecomeWorker(name);
   Worker& w = workers_[name];
@@ -368,21 +369,21 @@
   TellState(w);
 }
 
-void Front::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
+void Frontend::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
 
-void Front::TellState(const Worker& worker) {
+void Frontend::TellState(const Worker& worker) {
   sink_->Tell(EndpointListUpdate{
       EndpointListUpdate::Form::kDelta, WorkerEndpoint::Source::kSession, {worker.endpoint}});
 }
 
-void Front::TellFree(const Worker& worker) {
+void Frontend::TellFree(const Worker& worker) {
   LoadReport report;
   report.free_slots =
       static_cast<double>(worker.fetching.size()) - static_cast<double>(worker.waiting.size());
   sink_->Tell(ProbeCompleted{worker.endpoint.name, Outcome::kServed, 0, report});
 }
 
-void Front::Park(Session* session) {
+void Frontend::Park(Session* session) {
   Worker& w = workers_.at(session->worker());
   w.fetching.push_back(session);
   if (!w.waiting.empty()) {
@@ -395,13 +396,13 @@
     TellFree(w);
 }
 
-void Front::Unpark(Session* session) {
+void Frontend::Unpark(Session* session) {
   if (!session->parked())
     return;
   std::erase(workers_.at(session->worker()).fetching, session);
 }
 
-void Front::Start(const StartAttempt& start) {
+void Frontend::Start(const StartAttempt& start) {
   const auto found = workers_.find(start.worker);
   if (found == workers_.end()) {
     sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
@@ -418,13 +419,13 @@
   Deliver(&w, session, start);
 }
 
-void Front::Deliver(Worker* worker, Session* session, const StartAttempt& start) {
+void Frontend::Deliver(Worker* worker, Session* session, const StartAttempt& start) {
   worker->held.emplace(start.job->id, Worker::Held{start.attempt, session});
   session->Answer(BulkString(EncodeFetched(*start.job, start.time_left)));
   sink_->Tell(AttemptSent{start.attempt});
 }
 
-void Front::Stop(AttemptId attempt) {
+void Frontend::Stop(AttemptId attempt) {
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end())
     return;
@@ -448,7 +449,7 @@
   w.held.erase(held);
 }
 
-std::string Front::Acknowledge(const std::string& wid, const Ack& ack, Outcome outcome) {
+std::string Frontend::Acknowledge(const std::string& wid, const Ack& ack, Outcome outcome) {
   Worker& w = workers_.at(wid);
   // One given up on earlier was fetched earlier: its end comes first.
   if (const auto late = w.given_up.find(ack.jid); late != w.given_up.end()) {
@@ -467,7 +468,7 @@
   return SimpleString("OK");
 }
 
-std::string Front::Hear(const std::string& wid, const Beat& beat) {
+std::string Frontend::Hear(const std::string& wid, const Beat& beat) {
   if (kPrefix + beat.wid != wid)
     return Error("ERR", "BEAT of another wid");
   Worker& w = workers_.at(wid);
@@ -478,7 +479,7 @@
   return SimpleString("OK");
 }
 
-void Front::Leave(Session* session, bool by_end) {
+void Frontend::Leave(Session* session, bool by_end) {
   const std::string name = session->worker();
   Worker& w = workers_.at(name);
   if (!by_end && w.sessions == 1)
@@ -506,12 +507,12 @@
   }
 }
 
-void Front::Release(const Worker& worker) {
+void Frontend::Release(const Worker& worker) {
   for (const auto& [jid, attempt] : worker.given_up)
     sink_->Tell(AbandonedAttemptEnded{attempt});
 }
 
-void Front::Lose(const std::string& name) {
+void Frontend::Lose(const std::string& name) {
   const auto found = workers_.find(name);
   Worker gone = std::move(found->second);
   workers_.erase(found);
@@ -541,7 +542,7 @@
   }
 }
 
-void Front::Remove(Session* session) {
+void Frontend::Remove(Session* session) {
   const auto found = sessions_.find(session);
   if (found == sessions_.end())
     return;
@@ -549,7 +550,7 @@
   sessions_.erase(found);
   for (const std::uint64_t client : session->pushes_) {
     clients_.erase(client);
-    sink_->Tell(ClientLeft{{ClientRef::Front::kFaktory, client}});
+    sink_->Tell(ClientLeft{{ClientRef::Frontend::kFaktory, client}});
   }
   if (!workers_.contains(session->worker()))
     return;  // a producer's, or its worker is gone already
--- a/src/faktory/front.h
+++ b/src/faktory/frontend.h
@@ -1,7 +1,7 @@
-// The Faktory front. Producers PUSH and are answered once the work is done; workers with a wid are instances,
-// and a FETCH of theirs is a free slot. It keeps sessions and decides nothing.
-#ifndef ALDERSILL_SRC_FAKTORY_FRONT_H_
-#define ALDERSILL_SRC_FAKTORY_FRONT_H_
+// The Faktory frontend. Producers PUSH and are answered once the work is done; workers with a wid are
+// instances, and a FETCH of theirs is a free slot. It keeps sessions and decides nothing.
+#ifndef ALDERSILL_SRC_FAKTORY_FRONTEND_H_
+#define ALDERSILL_SRC_FAKTORY_FRONTEND_H_
 
 #include <cstdint>
 #include <deque>
@@ -16,7 +16,7 @@
 
 namespace aldersill::faktory {
 
-struct FrontSettings {
+struct FrontendSettings {
   Endpoint listen;
   Micros fetch_wait = 2 * kSecond;  // how long a FETCH may wait before it gets null
   Micros silence = 60 * kSecond;    // a worker not heard of for this long is gone
@@ -25,14 +25,14 @@
   ClassDeadlines classes;
 };
 
-class Front {
+class Frontend {
  public:
   // Throws std::runtime_error if it cannot listen.
-  Front(event_base* base, FrontSettings settings, EventSink* sink);
-  ~Front();
+  Frontend(event_base* base, FrontendSettings settings, EventSink* sink);
+  ~Frontend();
 
   // New settings. `listener`: in place of the one it has; null keeps that.
-  void Adopt(FrontSettings settings, EventPtr<evconnlistener> listener);
+  void Adopt(FrontendSettings settings, EventPtr<evconnlistener> listener);
   // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;
@@ -87,7 +87,7 @@
   void CloseIdle();
 
   event_base* base_;
-  FrontSettings settings_;
+  FrontendSettings settings_;
   EventSink* sink_;
   EventPtr<evconnlistener> listener_;
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
@@ -103,4 +103,4 @@
 
 }  // namespace aldersill::faktory
 
-#endif  // ALDERSILL_SRC_FAKTORY_FRONT_H_
+#endif  // ALDERSILL_SRC_FAKTORY_FRONTEND_H_
--- a/src/http/client_front.cpp
+++ b/src/http/frontend.cpp
@@ -1,4 +1,4 @@
-#include "http/client_front.h"
+#include "http/frontend.h"
 
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -93,19 +93,19 @@
 
 }  // namespace
 
-class ClientFront::Connection {
+class HttpFrontend::Connection {
  public:
-  Connection(ClientFront* front, evutil_socket_t fd)
-      : front_(front),
-        stream_(bufferevent_socket_new(front->base_, fd, BEV_OPT_DEFER_CALLBACKS)),
-        timer_(front->base_, [this] { OnTimer(); }) {
+  Connection(HttpFrontend* frontend, evutil_socket_t fd)
+      : frontend_(frontend),
+        stream_(bufferevent_socket_new(frontend->base_, fd, BEV_OPT_DEFER_CALLBACKS)),
+        timer_(frontend->base_, [this] { OnTimer(); }) {
     bufferevent_setcb(stream_.get(), &Connection::OnRead, &Connection::OnWritten, &Connection::OnEvent, this);
     bufferevent_set_timeouts(stream_.get(), nullptr, &kWriteWithin);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
     timer_.Set(kArrival);
   }
   ~Connection() {
-    front_->unfinished_bytes_ -= counted_;
+    frontend_->unfinished_bytes_ -= counted_;
     rest_.reset();
     const evutil_socket_t fd = bufferevent_getfd(stream_.get());
     // A callback that is still due holds the stream: its events must not be left on a descriptor that the
@@ -139,7 +139,7 @@
     // A newcomer is about to send its request, whether it came after the signal or right before; it is closed
     // with its answer.
     const Micros now = SteadyNow();
-    if (served_ == 0 && now - since_ < kNewcomerGrace && now < front_->AnswerBy())
+    if (served_ == 0 && now - since_ < kNewcomerGrace && now < frontend_->AnswerBy())
       return false;
     return state_ == State::kReading && !Unread();
   }
@@ -221,12 +221,12 @@
       c->last_ = true;
       return;
     }
-    c->front_->Remove(c);
+    c->frontend_->Remove(c);
   }
 
   void OnTimer() {
     if (state_ == State::kLingering)
-      return front_->Remove(this);
+      return frontend_->Remove(this);
     if (state_ != State::kReading)
       return;
     // What has come in the same moment is read first.
@@ -278,9 +278,9 @@
   // What has come of a request that is not whole counts against what all of them may hold; false where that
   // leaves no room for it.
   bool Count(std::size_t bytes) {
-    front_->unfinished_bytes_ += bytes - counted_;
+    frontend_->unfinished_bytes_ += bytes - counted_;
     counted_ = bytes;
-    return bytes <= kSmall || front_->unfinished_bytes_ <= front_->settings_.most_bytes;
+    return bytes <= kSmall || frontend_->unfinished_bytes_ <= frontend_->settings_.most_bytes;
   }
 
   void Take() {
@@ -295,38 +295,38 @@
       return Write(503, "not ready\n");
 #endif
     if (request.target == "/-/ready" && request.method == "GET")
-      return front_->ready_() ? Write(200, "ready\n") : Write(503, "not ready: no worker list yet\n");
+      return frontend_->ready_() ? Write(200, "ready\n") : Write(503, "not ready: no worker list yet\n");
     const std::string id = IdOf(request);
     if (request.method != "POST") {
-      front_->CountRejection(405, "jobs come by POST", id);
+      frontend_->CountRejection(405, "jobs come by POST", id);
       return Write(405, "jobs come by POST\n", "Allow: POST\r\n");
     }
     Job job;
     try {
-      job = DecodeJob(std::move(request), front_->settings_.keyed);
+      job = DecodeJob(std::move(request), frontend_->settings_.keyed);
     } catch (const BadMessage& e) {
-      front_->CountRejection(400, e.what(), id);
+      frontend_->CountRejection(400, e.what(), id);
       return Write(400, std::string(e.what()) + "\n");
     }
-    if (const auto left = front_->LeftWhileDraining()) {
+    if (const auto left = frontend_->LeftWhileDraining()) {
       if (*left < kTooLittle && *left < job.time_left / 2) {
-        front_->CountRejection(503, "too late in a drain", id);
+        frontend_->CountRejection(503, "too late in a drain", id);
         return Write(503, "refused: trying again is harmless\n",
                      "Retry-After: " + DecimalSeconds(kBusyAdvice) + "\r\n");
       }
       job.time_left = std::min(job.time_left, *left);
     }
     state_ = State::kHeld;
-    client_ = front_->next_++;
-    front_->held_.emplace(client_, this);
-    front_->sink_->Tell(RequestTaken{{ClientRef::Front::kHttp, client_}, std::move(job)});
+    client_ = frontend_->next_++;
+    frontend_->held_.emplace(client_, this);
+    frontend_->sink_->Tell(RequestTaken{{ClientRef::Frontend::kHttp, client_}, std::move(job)});
   }
 
   // An answer after which nothing more can be read off this connection.
   void Refuse(int code, const std::string& why) {
     keep_ = false;
     ThrowAwayRest();
-    front_->CountRejection(code, why, IdOf(reader_.request()));
+    frontend_->CountRejection(code, why, IdOf(reader_.request()));
     Write(code, why + "\n", code == 503 ? "Retry-After: " + DecimalSeconds(kBusyAdvice) + "\r\n" : "");
   }
 
@@ -334,7 +334,7 @@
     client_ = 0;
     state_ = State::kWriting;
     since_ = SteadyNow();
-    last_ = last_ || !keep_ || front_->drain_began_ != 0;
+    last_ = last_ || !keep_ || frontend_->drain_began_ != 0;
     std::string text = "HTTP/1.1 " + std::to_string(code) + " " + ReasonOf(code) + "\r\n";
     if (last_)
       text += "Connection: close\r\n";
@@ -370,7 +370,7 @@
     evbuffer* input = bufferevent_get_input(stream_.get());
     evbuffer_drain(input, evbuffer_get_length(input));
     Count(0);
-    rest_.reset(event_new(front_->base_, bufferevent_getfd(stream_.get()), EV_READ | EV_PERSIST,
+    rest_.reset(event_new(frontend_->base_, bufferevent_getfd(stream_.get()), EV_READ | EV_PERSIST,
                           &Connection::OnRest, this));
     event_add(rest_.get(), nullptr);
   }
@@ -386,10 +386,10 @@
     // One that has ended its sending, with an answer on its way, still reads that.
     if (size == 0 && c->state_ == State::kWriting)
       return c->rest_.reset();
-    c->front_->Remove(c);
+    c->frontend_->Remove(c);
   }
 
-  ClientFront* front_;
+  HttpFrontend* frontend_;
   EventPtr<bufferevent> stream_;
   EventPtr<event> rest_;  // of what is thrown away: freed before the stream closes the descriptor
   Timer timer_;
@@ -406,8 +406,8 @@
   bool head_only_ = false;
 };
 
-ClientFront::ClientFront(event_base* base, const Endpoint& listen, ClientFrontSettings settings,
-                         EventSink* sink, std::function<bool()> ready)
+HttpFrontend::HttpFrontend(event_base* base, const Endpoint& listen, HttpFrontendSettings settings,
+                           EventSink* sink, std::function<bool()> ready)
     : base_(base),
       settings_(std::move(settings)),
       sink_(sink),
@@ -415,51 +415,51 @@
       listener_(Open(listen)),
       drain_timer_(base, [this] { CloseIdle(); }),
       leave_timer_(base, [this] { StopListening(); }),
-      room_timer_(base, [this] { MindTheDoor(); }),
+      room_timer_(base, [this] { UpdateAcceptState(); }),
       rejections_timer_(base, [this] { LogRejections(false); }) {}
-ClientFront::~ClientFront() { LogRejections(true); }
+HttpFrontend::~HttpFrontend() { LogRejections(true); }
 
-EventPtr<evconnlistener> ClientFront::Open(const Endpoint& listen) {
+EventPtr<evconnlistener> HttpFrontend::Open(const Endpoint& listen) {
   EventPtr<evconnlistener> listener =
-      BindOn(base_, listen, "listen", settings_.shares_endpoint, &ClientFront::OnAccept, this);
-  evconnlistener_set_error_cb(listener.get(), &ClientFront::OnAcceptFailed);
+      BindOn(base_, listen, "listen", settings_.shares_endpoint, &HttpFrontend::OnAccept, this);
+  evconnlistener_set_error_cb(listener.get(), &HttpFrontend::OnAcceptFailed);
   return listener;
 }
 
-void ClientFront::Adopt(ClientFrontSettings settings, EventPtr<evconnlistener> listener) {
+void HttpFrontend::Adopt(HttpFrontendSettings settings, EventPtr<evconnlistener> listener) {
   settings_ = std::move(settings);
   if (listener != nullptr) {
     listener_ = std::move(listener);
     if (listens_)
       Listen();
   }
-  MindTheDoor();
+  UpdateAcceptState();
 }
 
-void ClientFront::Listen() {
+void HttpFrontend::Listen() {
   listens_ = true;
   StartListening(listener_.get());
 }
 
-int ClientFront::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
+int HttpFrontend::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
 
-void ClientFront::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-  auto* front = static_cast<ClientFront*>(self);
-  front->last_accept_ = SteadyNow();
-  auto connection = std::make_unique<Connection>(front, fd);
+void HttpFrontend::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  auto* frontend = static_cast<HttpFrontend*>(self);
+  frontend->last_accept_ = SteadyNow();
+  auto connection = std::make_unique<Connection>(frontend, fd);
   Connection* raw = connection.get();
-  front->connections_.emplace(raw, std::move(connection));
-  front->MindTheDoor();
+  frontend->connections_.emplace(raw, std::move(connection));
+  frontend->UpdateAcceptState();
 }
 
 // As where the descriptors are spent: the newcomer stays in the queue and would wake us up again at once.
-void ClientFront::OnAcceptFailed(evconnlistener*, void* self) {
-  auto* front = static_cast<ClientFront*>(self);
-  if (!front->MakeRoom())
-    front->ShutDoor();
+void HttpFrontend::OnAcceptFailed(evconnlistener*, void* self) {
+  auto* frontend = static_cast<HttpFrontend*>(self);
+  if (!frontend->EvictConnection())
+    frontend->PauseAccepting();
 }
 
-bool ClientFront::MakeRoom() {
+bool HttpFrontend::EvictConnection() {
 #ifdef ALDERSILL_PLANT_CROWDED_OUT  // planted where a search must find it
   return false;
 #endif
@@ -483,17 +483,17 @@
 }
 
 // Where nobody can be spared, newcomers wait in the listen queue: instance links need the other descriptors.
-void ClientFront::MindTheDoor() {
+void HttpFrontend::UpdateAcceptState() {
   if (!listens_)
     return;
-  if (connections_.size() < settings_.most_connections || MakeRoom()) {
+  if (connections_.size() < settings_.most_connections || EvictConnection()) {
     evconnlistener_enable(listener_.get());
     return;
   }
-  ShutDoor();
+  PauseAccepting();
 }
 
-void ClientFront::ShutDoor() {
+void HttpFrontend::PauseAccepting() {
   if (!listens_)
     return;
   Log(LogLevel::kWarning, "client_connections_full",
@@ -502,7 +502,7 @@
   room_timer_.Set(kLookForRoomEvery);
 }
 
-void ClientFront::Remove(Connection* connection) {
+void HttpFrontend::Remove(Connection* connection) {
   const auto found = connections_.find(connection);
   if (found == connections_.end())
     return;
@@ -510,16 +510,16 @@
   connections_.erase(found);
   const std::uint64_t client = owned->client();
   if (held_.erase(client) > 0)
-    sink_->Tell(ClientLeft{{ClientRef::Front::kHttp, client}});
+    sink_->Tell(ClientLeft{{ClientRef::Frontend::kHttp, client}});
 }
 
-void ClientFront::CountRejection(int status, const std::string& why, const std::string& id) {
-  sink_->Tell(RequestRejectedByFrontend{ClientRef::Front::kHttp, status, why, id});
+void HttpFrontend::CountRejection(int status, const std::string& why, const std::string& id) {
+  sink_->Tell(RequestRejectedByFrontend{ClientRef::Frontend::kHttp, status, why, id});
   rejections_.Add(status, why, id);
   LogRejections(false);
 }
 
-void ClientFront::LogRejections(bool all) {
+void HttpFrontend::LogRejections(bool all) {
   const Micros now = SteadyNow();
   for (const RejectionLogThrottle::Notice& n : rejections_.Take(now, all)) {
     Log(LogLevel::kWarning, "requests_turned_away",
@@ -529,7 +529,7 @@
     rejections_timer_.Set(std::max<Micros>(1, *wait));
 }
 
-void ClientFront::Reply(std::uint64_t client, const FinalAnswer& answer) {
+void HttpFrontend::Reply(std::uint64_t client, const FinalAnswer& answer) {
   const auto found = held_.find(client);
   if (found == held_.end())
     return;
@@ -538,19 +538,19 @@
   connection->Reply(answer);
 }
 
-bool ClientFront::HasLeft(std::uint64_t client) const {
+bool HttpFrontend::HasLeft(std::uint64_t client) const {
   const auto found = held_.find(client);
   return found != held_.end() && found->second->Ended();
 }
 
-std::optional<HeldConnection> ClientFront::Borrow(std::uint64_t client) const {
+std::optional<HeldConnection> HttpFrontend::Borrow(std::uint64_t client) const {
   const auto found = held_.find(client);
   if (found == held_.end())
     return std::nullopt;
   return found->second->Held();
 }
 
-void ClientFront::Forget(std::uint64_t client) {
+void HttpFrontend::Forget(std::uint64_t client) {
   const auto found = held_.find(client);
   if (found == held_.end())
     return;
@@ -559,7 +559,7 @@
   connections_.erase(connection);
 }
 
-std::uint64_t ClientFront::AdoptHeld(const HeldConnection& held) {
+std::uint64_t HttpFrontend::AdoptHeld(const HeldConnection& held) {
   auto connection = std::make_unique<Connection>(this, held.fd);
   Connection* raw = connection.get();
   connections_.emplace(raw, std::move(connection));
@@ -569,22 +569,22 @@
   return client;
 }
 
-void ClientFront::BeginDrain() {
+void HttpFrontend::BeginDrain() {
   if (drain_began_ != 0)
     return;
   drain_began_ = last_accept_ = SteadyNow();
   CloseIdle();
 }
 
-void ClientFront::LeaveNewcomersTo(unsigned number) {
-  if (!LeadNewcomersTo(evconnlistener_get_fd(listener_.get()), number))
+void HttpFrontend::RouteNewConnectionsTo(unsigned number) {
+  if (!aldersill::RouteNewConnectionsTo(evconnlistener_get_fd(listener_.get()), number))
     return Log(LogLevel::kWarning, "newcomers_not_led", {{"effect", "listens until its end"}});
   last_accept_ = SteadyNow();
   leave_timer_.Set(kHandshake);
 }
 
 // Those whose handshake was under way are in the queue by now, or have been taken.
-void ClientFront::StopListening() {
+void HttpFrontend::StopListening() {
   const Micros since = SinceLastAccept();
   if (since < kHandshake)
     return leave_timer_.Set(kHandshake - since);
@@ -594,7 +594,7 @@
   listener_.reset();
 }
 
-void ClientFront::CloseIdle() {
+void HttpFrontend::CloseIdle() {
   const bool late = SteadyNow() >= AnswerBy();
   for (const auto& [connection, owned] : connections_) {
     if (connection->Idle())
@@ -605,18 +605,18 @@
   drain_timer_.Set(kCloseEvery);
 }
 
-Micros ClientFront::AnswerBy() const {
+Micros HttpFrontend::AnswerBy() const {
   return drain_began_ + kKillAfter + std::min(settings_.longest_deadline, kKillCounts) - kKillMargin;
 }
 
-std::optional<Micros> ClientFront::LeftWhileDraining() const {
+std::optional<Micros> HttpFrontend::LeftWhileDraining() const {
   const Micros now = SteadyNow();
   if (drain_began_ == 0 || now - drain_began_ < kLateFrom)
     return std::nullopt;
   return std::max<Micros>(0, AnswerBy() - now);
 }
 
-bool ClientFront::Quiet() const {
+bool HttpFrontend::Quiet() const {
   if (connections_.empty())
     return true;
   // Peers that have their answers and never close must not keep the program until it is killed.
--- a/src/http/client_front.h
+++ b/src/http/frontend.h
@@ -1,9 +1,9 @@
-// The platform's front: service clients over HTTP/1.1. It decodes requests, tells the core of them and of
+// The platform's frontend: service clients over HTTP/1.1. It decodes requests, tells the core of them and of
 // clients that leave, and writes the one final answer. It decides nothing. Not on evhttp's server, which
 // takes what must be refused and knows no bound on a request's arrival (docs/architecture.md has what was
 // measured).
-#ifndef ALDERSILL_SRC_HTTP_CLIENT_FRONT_H_
-#define ALDERSILL_SRC_HTTP_CLIENT_FRONT_H_
+#ifndef ALDERSILL_SRC_HTTP_FRONTEND_H_
+#define ALDERSILL_SRC_HTTP_FRONTEND_H_
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace aldersill {
 
-struct ClientFrontSettings {
+struct HttpFrontendSettings {
   std::unordered_map<std::string, bool> keyed;  // by class, whether its jobs carry a key
   std::size_t most_connections = 0;
   std::size_t most_bytes = 0;    // of requests that have not come whole, over all connections
@@ -33,18 +33,18 @@
   bool head_only = false;   // the answer goes without its body
 };
 
-class ClientFront {
+class HttpFrontend {
  public:
   // `ready`: what GET /-/ready is answered by. Takes its endpoint, and no client before Listen. Throws
   // std::runtime_error if it cannot have the endpoint.
-  ClientFront(event_base* base, const Endpoint& listen, ClientFrontSettings settings, EventSink* sink,
-              std::function<bool()> ready);
-  ~ClientFront();
+  HttpFrontend(event_base* base, const Endpoint& listen, HttpFrontendSettings settings, EventSink* sink,
+               std::function<bool()> ready);
+  ~HttpFrontend();
 
   void Listen();
   bool Listens() const { return listens_; }
   // New settings. `listener`: in place of the one it has; null keeps that.
-  void Adopt(ClientFrontSettings settings, EventPtr<evconnlistener> listener);
+  void Adopt(HttpFrontendSettings settings, EventPtr<evconnlistener> listener);
   // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;  // the one it listens on, which the kernel chose if the endpoint had none
@@ -53,7 +53,7 @@
   bool HasLeft(std::uint64_t client) const;
 
   // The connection of a client that waits for its answer; nothing for one that has gone, or has sent more
-  // than its request. It stays this front's until Forget.
+  // than its request. It stays this frontend's until Forget.
   std::optional<HeldConnection> Borrow(std::uint64_t client) const;
   // Lets go of it without a word to the client or the core: another process has it.
   void Forget(std::uint64_t client);
@@ -64,7 +64,7 @@
   void BeginDrain();
   // In a drain, where other processes share the endpoint: newcomers go to the one of this number, and once
   // those that were on their way are taken, none come here any more.
-  void LeaveNewcomersTo(unsigned number);
+  void RouteNewConnectionsTo(unsigned number);
   // No request in hand, and nobody left to whom an answer is still on its way.
   bool Quiet() const;
   Micros SinceLastAccept() const { return SteadyNow() - last_accept_; }
@@ -75,13 +75,13 @@
   static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
   static void OnAcceptFailed(evconnlistener* listener, void* self);
   void Remove(Connection* connection);
-  // One that the front answers itself: counted by the core, and told in the log.
+  // One that the frontend answers itself: counted by the core, and told in the log.
   void CountRejection(int status, const std::string& why, const std::string& id);
   void LogRejections(bool all);
   // Ends the connection that can best be spared for the next newcomer; false if there is none.
-  bool MakeRoom();
-  void MindTheDoor();
-  void ShutDoor();  // for a moment
+  bool EvictConnection();
+  void UpdateAcceptState();
+  void PauseAccepting();  // for a moment
   void CloseIdle();
   void StopListening();
   // After SIGTERM: when all answers have to be out, and how long from now a request that comes so late has;
@@ -90,7 +90,7 @@
   std::optional<Micros> LeftWhileDraining() const;
 
   event_base* base_;
-  ClientFrontSettings settings_;
+  HttpFrontendSettings settings_;
   EventSink* sink_;
   std::function<bool()> ready_;
   EventPtr<evconnlistener> listener_;
@@ -110,4 +110,4 @@
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_HTTP_CLIENT_FRONT_H_
+#endif  // ALDERSILL_SRC_HTTP_FRONTEND_H_
--- a/src/http/rejection_log_throttle.h
+++ b/src/http/rejection_log_throttle.h
@@ -1,6 +1,6 @@
-// What is told of the requests that a front answers itself: the first of each reason at once, then one notice
-// a reason every so often, so that a client that gets all of its requests wrong is seen and floods no log.
-// Pure: told the time, it logs nothing.
+// What is told of the requests that a frontend answers itself: the first of each reason at once, then one
+// notice a reason every so often, so that a client that gets all of its requests wrong is seen and floods no
+// log. Pure: told the time, it logs nothing.
 #ifndef ALDERSILL_SRC_HTTP_REJECTION_LOG_THROTTLE_H_
 #define ALDERSILL_SRC_HTTP_REJECTION_LOG_THROTTLE_H_
 
@@ -65,7 +65,7 @@
     std::string example;
     std::optional<Micros> told;
   };
-  // As many as the front has texts: no reason holds anything that a peer sent.
+  // As many as the frontend has texts: no reason holds anything that a peer sent.
   std::map<std::pair<int, std::string>, Reason> reasons_;
 };
 
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -24,7 +24,7 @@
   RequestReader(const RequestReader&) = delete;
   RequestReader& operator=(const RequestReader&) = delete;
 
-  // Takes bytes off the front of what has come; how many. Throws BadRequest: what follows then cannot be
+  // Takes bytes off the frontend of what has come; how many. Throws BadRequest: what follows then cannot be
   // read.
   std::size_t Read(std::string_view bytes);
   // Whether all of the request has come. The bytes behind it are the next one's.
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -30,7 +30,7 @@
   }
   void operator()(const RequestRejectedByFrontend& e) const {
     Log(LogLevel::kDebug, "request_turned_away",
-        {{"front", e.front == ClientRef::Front::kHttp ? "http" : "faktory"},
+        {{"front", e.frontend == ClientRef::Frontend::kHttp ? "http" : "faktory"},
          {"id", e.id},
          {"status", e.status},
          {"why", e.why}});
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -39,7 +39,7 @@
   evconnlistener_enable(listener);
 }
 
-bool LeadNewcomersTo(evutil_socket_t listener, unsigned number) {
+bool RouteNewConnectionsTo(evutil_socket_t listener, unsigned number) {
   sock_filter answer = BPF_STMT(BPF_RET | BPF_K, number);
   const sock_fprog program{1, &answer};
   return setsockopt(listener, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof(program)) == 0;
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -71,7 +71,7 @@
 void StartListening(evconnlistener* listener);
 // Of the processes that share an endpoint, by the order in which they began to listen: who comes goes to this
 // one from now on, where there is one of that number. False where the kernel does not do that.
-bool LeadNewcomersTo(evutil_socket_t listener, unsigned number);
+bool RouteNewConnectionsTo(evutil_socket_t listener, unsigned number);
 int PortOf(evutil_socket_t fd);  // where it listens: the kernel chose if the endpoint had none
 
 }  // namespace aldersill
--- a/tests/daemon/snmp_test.cpp
+++ b/tests/daemon/snmp_test.cpp
@@ -42,7 +42,7 @@
   CHECK(probe.Get(Id("2.1.4.3"))->value == "1");  // served
   CHECK(probe.Get(Id("3.1.3.1"))->value == "1");  // executions served
 
-  // What a front turns away is no job of any class.
+  // What a frontend turns away is no job of any class.
   CHECK(tools::Player({{"http", daemon.ports().at("http")}})
             .Play("connect h http\nsend h\n| PUT /cobro HTTP/1.1\n|\n"
                   "expect h\n| HTTP/1.1 405 Method Not Allowed\n") == "");
