--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-Reducer::Reducer(CoreSettings settings) { Adopt(std::move(settings)); }
+Reducer::Reducer(CoreSettings settings) { ApplySettings(std::move(settings)); }
 
-void Reducer::Adopt(CoreSettings settings) {
+void Reducer::ApplySettings(CoreSettings settings) {
   const bool fresh = modules_.empty() || settings.module_changed;
   settings_ = std::move(settings);
   if (!fresh)
@@ -400,7 +400,7 @@
 void Reducer::On(SettingsChanged&& e) {
   ++counters_.reconfigurations;
   const std::uint64_t before = modules_.rbegin()->first;
-  Adopt(std::move(e.settings));
+  ApplySettings(std::move(e.settings));
   const std::uint64_t now = modules_.rbegin()->first;
   // Known workers go on being used; the watch goes on as well where there is one.
   if (now != before)
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -105,7 +105,7 @@
     dispatch::Dispatcher dispatcher;
     std::size_t open = 0;  // requests it decides on
   };
-  void Adopt(CoreSettings settings);
+  void ApplySettings(CoreSettings settings);
   void TellModule(std::uint64_t module, dispatch::Event event) {
     for_module_.emplace_back(module, std::move(event));
   }
--- a/src/daemon/cluster_part.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -6,7 +6,7 @@
 
 #include "cluster/cluster.h"
 #include "cluster/objects.h"
-#include "daemon/parts.h"
+#include "daemon/components.h"
 #include "log/log.h"
 #include "membership/transport.h"
 #include "net/message_pack.h"
@@ -33,12 +33,12 @@
   return s;
 }
 
-class ClusterPart : public Part {
+class ClusterComponent : public Component {
  public:
-  explicit ClusterPart(const Surroundings& around)
-      : around_(around),
-        timer_(around.base, [this] { Tell(cluster::Time{}); }),
-        names_timer_(around.base, [this] { LookAtNames(); }) {}
+  explicit ClusterComponent(const ComponentContext& context)
+      : context_(context),
+        timer_(context.base, [this] { Tell(cluster::Time{}); }),
+        names_timer_(context.base, [this] { LookAtNames(); }) {}
 
   void Start(const Config& c) override {
     membership_ = c.own.membership;
@@ -50,31 +50,31 @@
       throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
                         " bytes where membership is on");
     transport_ = std::make_unique<membership::Transport>(
-        around_.base, membership_.listen, membership::ReadKeys(membership_.key_file), around_.now,
+        context_.base, membership_.listen, membership::ReadKeys(membership_.key_file), context_.now,
         [this](std::string address, membership::Packet packet) {
           Tell(cluster::Came{std::move(address), std::move(packet)});
         });
     const Endpoint own{membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
     address_ = membership_.advertise.empty() ? ToText(own) : membership_.advertise;
     core_ = std::make_unique<cluster::Cluster>(ForCluster(c, address_),
-                                               c.seed ^ static_cast<std::uint64_t>(around_.now()));
+                                               c.seed ^ static_cast<std::uint64_t>(context_.now()));
     // The module's own wish for a probe is met by what all instances' probes bring.
     if (duties_.probing)
-      around_.offers->probe = [](const ProbeWorker&) {};
+      context_.registry->probe = [](const ProbeWorker&) {};
   }
 
-  void Announce() override {
+  void OnAllStarted() override {
     if (core_ == nullptr)
       return;
     Log(LogLevel::kInfo, "door",
         {{"name", "membership"},
          {"address", ToText({membership_.listen.host, static_cast<std::uint16_t>(transport_->port())})},
          {"advertised", address_}});
-    Tell(cluster::Start{static_cast<std::uint64_t>(around_.now() / kMillisecond)});
+    Tell(cluster::Start{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
     LookAtNames();
   }
 
-  void Prepare(const Config& next) override {
+  void PrepareReload(const Config& next) override {
     if (!(next.own.membership == membership_))
       throw ConfigError("membership cannot change while the program runs");
     if (!(next.own.duties == duties_))
@@ -84,10 +84,10 @@
     if (transport_ != nullptr)
       keys_ = membership::ReadKeys(membership_.key_file);
   }
-  void Abandon() override { keys_.clear(); }
-  void Adopt(const Config&) override {
+  void CancelReload() override { keys_.clear(); }
+  void ApplyReload(const Config&) override {
     if (transport_ != nullptr)
-      transport_->Adopt(std::exchange(keys_, {}));
+      transport_->ReplaceKeys(std::exchange(keys_, {}));
   }
 
   void BeginDrain() override {
@@ -97,19 +97,19 @@
 
  private:
   void Offer() {
-    around_.offers->questions["members"] = [this] {
+    context_.registry->questions["members"] = [this] {
       nlohmann::json json = cluster::MembersAsJson(core_.get());
       for (std::size_t i = 0; transport_ != nullptr && i < transport_->sealer().dropped().size(); ++i)
         json["dropped"][membership::Name(static_cast<membership::Dropped>(i))] =
             transport_->sealer().dropped()[i];
       return json.dump();
     };
-    around_.offers->questions["duties"] = [this] {
-      return cluster::DutiesAsJson(core_.get(), around_.now()).dump();
+    context_.registry->questions["duties"] = [this] {
+      return cluster::DutiesAsJson(core_.get(), context_.now()).dump();
     };
-    around_.offers->snmp_objects.push_back([this](snmp::ObjectMap* objects) {
+    context_.registry->snmp_objects.push_back([this](snmp::ObjectMap* objects) {
       if (core_ != nullptr)
-        cluster::AddObjects(*core_, transport_->counters(), transport_->sealer(), around_.now(), objects);
+        cluster::AddObjects(*core_, transport_->counters(), transport_->sealer(), context_.now(), objects);
     });
   }
 
@@ -122,24 +122,24 @@
       cluster::Event next = std::move(events_.front());
       events_.pop_front();
       std::vector<cluster::Effect> effects;
-      core_->Handle(around_.now(), std::move(next), &effects);
+      core_->Handle(context_.now(), std::move(next), &effects);
       for (cluster::Effect& effect : effects) {
         std::visit([this](auto&& e) { Do(std::move(e)); }, std::move(effect));
       }
     }
     handling_ = false;
     if (const Micros due = core_->next_due(); due != INT64_MAX)
-      timer_.Set(std::max<Micros>(0, due - around_.now()));
+      timer_.Set(std::max<Micros>(0, due - context_.now()));
   }
 
   void Do(cluster::Send&& e) { transport_->Send(e.address, e.packet); }
   void Do(cluster::Probe&& e) {
-    around_.offers->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
+    context_.registry->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
       Tell(cluster::Probed{number, answered.outcome, answered.elapsed, answered.report});
     });
   }
   void Do(cluster::Result&& e) {
-    around_.sink->Tell(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
+    context_.sink->Tell(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
   }
   void Do(membership::MemberNews&& e) {
     using What = membership::MemberNews::What;
@@ -156,11 +156,11 @@
 
   void LookAtNames() {
     names_timer_.Set(kLookAtNames);
-    const std::uint64_t news = around_.reducer->counters().endpoint_list_updates;
+    const std::uint64_t news = context_.reducer->counters().endpoint_list_updates;
     if (std::exchange(seen_news_, news) == news)
       return;
     cluster::Workers workers;
-    for (const auto& [name, worker] : around_.reducer->endpoints()) {
+    for (const auto& [name, worker] : context_.reducer->endpoints()) {
       if (worker.source == WorkerEndpoint::Source::kDiscovery &&
           worker.state == WorkerEndpoint::State::kReady)
         workers.all.emplace_back(name, worker.address);
@@ -168,7 +168,7 @@
     Tell(std::move(workers));
   }
 
-  const Surroundings around_;
+  const ComponentContext context_;
   MembershipSettings membership_;
   DutiesSettings duties_;
   std::string address_;
@@ -184,8 +184,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> MakeClusterPart(const Surroundings& surroundings) {
-  return std::make_unique<ClusterPart>(surroundings);
+std::unique_ptr<Component> MakeClusterComponent(const ComponentContext& context) {
+  return std::make_unique<ClusterComponent>(context);
 }
 
 }  // namespace aldersill
--- a/src/daemon/part.h
+++ b/src/daemon/component.h
@@ -1,8 +1,8 @@
 // What a part of the daemon (frontends and links of one wire, an agent) offers to the wiring and is told by
 // it. Daemon holds a list of parts and knows none of them by name: a new part is a file of its own, made in
 // parts.cpp. All on the loop's thread.
-#ifndef ALDERSILL_SRC_DAEMON_PART_H_
-#define ALDERSILL_SRC_DAEMON_PART_H_
+#ifndef ALDERSILL_SRC_DAEMON_COMPONENT_H_
+#define ALDERSILL_SRC_DAEMON_COMPONENT_H_
 
 #include <event2/event.h>
 
@@ -38,7 +38,7 @@
 };
 
 // Where the core's effects go, and what else a part has for others. A place that nobody has taken is empty.
-struct Offers {
+struct ComponentRegistry {
   std::array<AttemptTransport*, 2> attempt_transports{};  // by Instance::Source
   std::array<ResponseSink*, 2> response_sinks{};          // by ClientRef::Front
   std::function<void(const ProbeWorker&)> probe;
@@ -67,48 +67,48 @@
   std::map<std::string, std::function<std::string()>> questions;
 };
 
-struct Surroundings {
+struct ComponentContext {
   event_base* base = nullptr;
   EventSink* sink = nullptr;
   const Reducer* reducer = nullptr;  // to read: its state changes through `sink` alone
-  Offers* offers = nullptr;
+  ComponentRegistry* registry = nullptr;
   std::function<Micros()> now;  // the clock of the whole program
 };
 
-class Part {
+class Component {
  public:
-  virtual ~Part() = default;
+  virtual ~Component() = default;
 
   // Takes its places in the offers and begins. Throws std::runtime_error if it cannot, as where it cannot
   // listen.
   virtual void Start(const Config& config) = 0;
   // After all parts have begun, and the name table remembered is known.
-  virtual void Announce() {}
-
-  // The configuration read anew, in two steps so that it is taken over whole or not at all: Prepare does all
-  // that can fail, throws what is wrong and changes nothing that shows; Adopt cannot fail. A Prepare without
-  // an Adopt is undone by Abandon.
-  virtual void Prepare(const Config&) {}
-  virtual void Adopt(const Config&) {}
-  virtual void Abandon() {}
+  virtual void OnAllStarted() {}
+
+  // The configuration read anew, in two steps so that it is taken over completely or not at all:
+  // PrepareReload does all that can fail, throws what is wrong and changes nothing that shows; ApplyReload
+  // cannot fail. A PrepareReload without an ApplyReload is undone by CancelReload.
+  virtual void PrepareReload(const Config&) {}
+  virtual void ApplyReload(const Config&) {}
+  virtual void CancelReload() {}
   // After the core has been told the new settings.
-  virtual void Adopted(const Config&) {}
+  virtual void OnReloadApplied(const Config&) {}
 
   virtual void BeginDrain() {}
   virtual bool Quiet() const { return true; }  // nothing in hand that the program's end would lose
 };
 
 // All parts, in the order in which they start.
-std::vector<std::unique_ptr<Part>> MakeParts(const Surroundings& surroundings);
+std::vector<std::unique_ptr<Component>> MakeComponents(const ComponentContext& context);
 
 constexpr int kAdminConnections = 16;  // at the operators' address
 
 // How the descriptors are shared out among the parts that hold connections.
-struct Shares {
-  explicit Shares(const Config& config);
+struct DescriptorShares {
+  explicit DescriptorShares(const Config& config);
   int sessions = 0, clients = 0, workers = 0;
 };
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_DAEMON_PART_H_
+#endif  // ALDERSILL_SRC_DAEMON_COMPONENT_H_
--- a/src/daemon/control_part.cpp
+++ b/src/daemon/control_component.cpp
@@ -1,24 +1,24 @@
 // The control socket, on which the parts' questions are answered. Off without a path.
 #include "control/control.h"
-#include "daemon/parts.h"
+#include "daemon/components.h"
 
 namespace aldersill {
 namespace {
 
-class ControlPart : public Part {
+class ControlComponent : public Component {
  public:
-  explicit ControlPart(const Surroundings& around) : around_(around) {}
+  explicit ControlComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& c) override {
     server_ = Make(c);
     path_ = c.own.control.socket;
   }
-  void Prepare(const Config& next) override {
+  void PrepareReload(const Config& next) override {
     if (next.own.control.socket != path_)
       made_ = Make(next);
   }
-  void Abandon() override { made_.reset(); }
-  void Adopt(const Config& c) override {
+  void CancelReload() override { made_.reset(); }
+  void ApplyReload(const Config& c) override {
     if (c.own.control.socket == path_)
       return;
     path_ = c.own.control.socket;
@@ -30,16 +30,16 @@
     if (c.own.control.socket.empty())
       return nullptr;
     return std::make_unique<control::Server>(
-        around_.base, c.own.control.socket,
+        context_.base, c.own.control.socket,
         [this](const std::string& question) -> std::optional<std::string> {
-          const auto found = around_.offers->questions.find(question);
-          if (found == around_.offers->questions.end())
+          const auto found = context_.registry->questions.find(question);
+          if (found == context_.registry->questions.end())
             return std::nullopt;
           return found->second();
         });
   }
 
-  const Surroundings around_;
+  const ComponentContext context_;
   std::string path_;
   std::unique_ptr<control::Server> server_;
   std::unique_ptr<control::Server> made_;  // for a configuration that is not yet taken over
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> MakeControlPart(const Surroundings& surroundings) {
-  return std::make_unique<ControlPart>(surroundings);
+std::unique_ptr<Component> MakeControlComponent(const ComponentContext& context) {
+  return std::make_unique<ControlComponent>(context);
 }
 
 }  // namespace aldersill
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -62,10 +62,10 @@
   clock_offset_ = UnixNow() - SteadyNow();
   SetUpLog(config_.own.logging);
   TellUnknown(config_);
-  const Surroundings around{base_.get(), this, &reducer_, &offers_, [this] { return Now(); }};
-  parts_ = MakeParts(around);
-  for (const auto& part : parts_)
-    part->Start(config_);
+  const ComponentContext context{base_.get(), this, &reducer_, &registry_, [this] { return Now(); }};
+  components_ = MakeComponents(context);
+  for (const auto& component : components_)
+    component->Start(config_);
   for (const int number : {SIGTERM, SIGINT, SIGHUP}) {
     signals_.emplace_back(evsignal_new(base_.get(), number, &Daemon::OnSignal, this));
     evsignal_add(signals_.back().get(), nullptr);
@@ -73,8 +73,8 @@
   quiet_timer_ = std::make_unique<Timer>(base_.get(), [this] { EndIfQuiet(); });
   Tell(EndpointListUpdate{EndpointListUpdate::Form::kCached, WorkerEndpoint::Source::kDiscovery,
                           config_.known});
-  for (const auto& part : parts_)
-    part->Announce();
+  for (const auto& component : components_)
+    component->OnAllStarted();
   Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"remembered", config_.known.size()}});
 }
 
@@ -106,37 +106,37 @@
 void Daemon::Do(const StartAttempt& e) {
   // A client's end may have come with its request, or in the same moment as the news that made this attempt:
   // then it lies unread, and the attempt would begin for nobody.
-  const auto* response_sink = offers_.response_sinks[static_cast<std::size_t>(e.client.frontend)];
+  const auto* response_sink = registry_.response_sinks[static_cast<std::size_t>(e.client.frontend)];
   if (response_sink != nullptr && response_sink->HasLeft(e.client.number)) {
     Tell(ClientLeft{e.client});
     return Tell(AttemptEnded{e.attempt, Outcome::kNotSent, "", {}});
   }
-  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
+  if (auto* runner = registry_.attempt_transports[static_cast<std::size_t>(e.source)])
     runner->Start(e);
 }
 void Daemon::Do(const ResumeAttempt& e) {
-  if (offers_.resume)
-    offers_.resume(e);
+  if (registry_.resume)
+    registry_.resume(e);
 }
 void Daemon::Do(const SendAttempt& e) {
-  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
+  if (auto* runner = registry_.attempt_transports[static_cast<std::size_t>(e.source)])
     runner->Send(e);
 }
 void Daemon::Do(const StopAttempt& e) {
-  if (auto* runner = offers_.attempt_transports[static_cast<std::size_t>(e.source)])
+  if (auto* runner = registry_.attempt_transports[static_cast<std::size_t>(e.source)])
     runner->Stop(e.attempt);
 }
 void Daemon::Do(const Answer& e) {
-  if (auto* response_sink = offers_.response_sinks[static_cast<std::size_t>(e.client.frontend)])
+  if (auto* response_sink = registry_.response_sinks[static_cast<std::size_t>(e.client.frontend)])
     response_sink->Reply(e.client.number, e.answer);
 }
 void Daemon::Do(const ProbeWorker& e) {
-  if (offers_.probe)
-    offers_.probe(e);
+  if (registry_.probe)
+    registry_.probe(e);
 }
 void Daemon::Do(const WatchEndpointList&) {
-  if (offers_.watch_endpoint_list)
-    offers_.watch_endpoint_list();
+  if (registry_.watch_endpoint_list)
+    registry_.watch_endpoint_list();
 }
 void Daemon::Do(const LogLine& e) { Log(LogLevel::kInfo, "module", {{"text", e.text}}); }
 
@@ -162,11 +162,11 @@
   Config next;
   try {
     next = ReadConfig(&config_);
-    for (const auto& part : parts_)
-      part->Prepare(next);
+    for (const auto& component : components_)
+      component->PrepareReload(next);
   } catch (const std::exception& e) {
-    for (const auto& part : parts_)
-      part->Abandon();
+    for (const auto& component : components_)
+      component->CancelReload();
     const auto* error = dynamic_cast<const ConfigError*>(&e);
     Log(LogLevel::kError, "configuration_refused",
         {{"code", error != nullptr ? error->code() : "failed"},
@@ -179,11 +179,11 @@
   config_ = std::move(next);
   SetUpLog(config_.own.logging);
   TellUnknown(config_);
-  for (const auto& part : parts_)
-    part->Adopt(config_);
+  for (const auto& component : components_)
+    component->ApplyReload(config_);
   Tell(SettingsChanged{std::move(core)});
-  for (const auto& part : parts_)
-    part->Adopted(config_);
+  for (const auto& component : components_)
+    component->OnReloadApplied(config_);
   Log(LogLevel::kInfo, "configuration_adopted");
 }
 
@@ -191,8 +191,8 @@
   if (drain_began_ != 0)
     return;
   drain_began_ = Now();
-  for (const auto& part : parts_)
-    part->BeginDrain();
+  for (const auto& component : components_)
+    component->BeginDrain();
   Log(LogLevel::kInfo, "draining");
   quiet_timer_->Set(kLookEvery);
 }
@@ -201,8 +201,9 @@
 #ifdef ALDERSILL_PLANT_HASTY_END  // planted where a search must find it
   return static_cast<void>(event_base_loopbreak(base_.get()));
 #endif
-  const bool quiet = reducer_.Quiet() && std::all_of(parts_.begin(), parts_.end(),
-                                                     [](const auto& part) { return part->Quiet(); });
+  const bool quiet =
+      reducer_.Quiet() && std::all_of(components_.begin(), components_.end(),
+                                      [](const auto& component) { return component->Quiet(); });
   if (quiet && Now() - drain_began_ >= kLinger) {
     Log(LogLevel::kInfo, "ending");
     event_base_loopbreak(base_.get());
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -11,7 +11,7 @@
 
 #include "config/config.h"
 #include "core/reducer.h"
-#include "daemon/part.h"
+#include "daemon/component.h"
 #include "net/event_loop.h"
 
 namespace aldersill {
@@ -56,8 +56,8 @@
   Micros clock_offset_ = 0;
   Micros drain_began_ = 0;
 
-  Offers offers_;
-  std::vector<std::unique_ptr<Part>> parts_;
+  ComponentRegistry registry_;
+  std::vector<std::unique_ptr<Component>> components_;
 };
 
 }  // namespace aldersill
--- a/src/daemon/faktory_part.cpp
+++ b/src/daemon/faktory_component.cpp
@@ -1,7 +1,7 @@
 // The Faktory work protocol: producers and workers. Off unless the operator's file turns it on.
 #include <utility>
 
-#include "daemon/parts.h"
+#include "daemon/components.h"
 #include "faktory/frontend.h"
 #include "log/log.h"
 
@@ -14,15 +14,15 @@
   s.fetch_wait = c.own.faktory.fetch_wait;
   s.silence = c.own.faktory.worker_silence;
   s.return_within = c.own.faktory.worker_return;
-  s.most_connections = Shares(c).sessions;
+  s.most_connections = DescriptorShares(c).sessions;
   for (const auto& job_class : c.module.classes)
     s.classes.emplace(job_class.name, job_class.deadline);
   return s;
 }
 
-class FaktoryPart : public Part, public AttemptTransport, public ResponseSink {
+class FaktoryComponent : public Component, public AttemptTransport, public ResponseSink {
  public:
-  explicit FaktoryPart(const Surroundings& around) : around_(around) {}
+  explicit FaktoryComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& c) override {
     held_ = c.own.faktory;
@@ -31,7 +31,7 @@
     if (frontend_ != nullptr)
       Offer();
   }
-  void Announce() override {
+  void OnAllStarted() override {
     if (frontend_ == nullptr)
       return;
     Log(LogLevel::kInfo, "door",
@@ -42,7 +42,7 @@
   void Stop(AttemptId attempt) override { frontend_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { frontend_->Reply(client, answer); }
 
-  void Prepare(const Config& next) override {
+  void PrepareReload(const Config& next) override {
     const FaktorySettings& s = next.own.faktory;
     if (!s.enabled)
       return;
@@ -52,11 +52,11 @@
       response_sink_ = frontend_->Open(s.listen);
     }
   }
-  void Abandon() override {
+  void CancelReload() override {
     made_.reset();
     response_sink_.reset();
   }
-  void Adopt(const Config& c) override {
+  void ApplyReload(const Config& c) override {
     held_ = c.own.faktory;
     if (made_ != nullptr) {
       frontend_ = std::move(made_);
@@ -65,7 +65,7 @@
     if (frontend_ == nullptr)
       return;
     if (held_.enabled)
-      return frontend_->Adopt(ForFaktory(c), std::move(response_sink_));
+      return frontend_->ApplySettings(ForFaktory(c), std::move(response_sink_));
     frontend_->Close();
   }
 
@@ -77,14 +77,14 @@
 
  private:
   std::unique_ptr<faktory::Frontend> Make(const Config& c) const {
-    return std::make_unique<faktory::Frontend>(around_.base, ForFaktory(c), around_.sink);
+    return std::make_unique<faktory::Frontend>(context_.base, ForFaktory(c), context_.sink);
   }
   void Offer() {
-    around_.offers->attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kSession)] = this;
-    around_.offers->response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kFaktory)] = this;
+    context_.registry->attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kSession)] = this;
+    context_.registry->response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kFaktory)] = this;
   }
 
-  const Surroundings around_;
+  const ComponentContext context_;
   FaktorySettings held_;
   std::unique_ptr<faktory::Frontend> frontend_;  // none while it has never been on
   // For a configuration that is not yet taken over.
@@ -94,8 +94,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> MakeFaktoryPart(const Surroundings& surroundings) {
-  return std::make_unique<FaktoryPart>(surroundings);
+std::unique_ptr<Component> MakeFaktoryComponent(const ComponentContext& context) {
+  return std::make_unique<FaktoryComponent>(context);
 }
 
 }  // namespace aldersill
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-JobTransfer::JobTransfer(const Surroundings& around, HttpFrontend* clients, WorkerClient* workers)
-    : around_(around), clients_(clients), workers_(workers), again_(around.base, [this] { SendAll(); }) {}
+JobTransfer::JobTransfer(const ComponentContext& context, HttpFrontend* clients, WorkerClient* workers)
+    : context_(context), clients_(clients), workers_(workers), again_(context.base, [this] { SendAll(); }) {}
 
 void JobTransfer::ReceiveAt(const std::string& path) {
   receiver_ = std::make_unique<upgrade::DescriptorReceiver>(
-      around_.base, path, [this](std::string_view message, std::vector<int> descriptors) {
+      context_.base, path, [this](std::string_view message, std::vector<int> descriptors) {
         Receive(message, std::move(descriptors));
       });
 }
@@ -33,7 +33,7 @@
 
 void JobTransfer::SendAll() {
   std::int64_t sent = 0;
-  for (const JobInHand& in_hand : around_.reducer->JobsInHand())
+  for (const JobInHand& in_hand : context_.reducer->JobsInHand())
     sent += SendOne(in_hand);
   if (sent > 0)
     Log(LogLevel::kInfo, "jobs_handed_over", {{"count", sent}});
@@ -60,7 +60,7 @@
   clients_->Forget(in_hand.client.number);
   if (in_hand.running)
     workers_->Forget(*in_hand.running);
-  around_.sink->Tell(JobHandedAway{in_hand.client});
+  context_.sink->Tell(JobHandedAway{in_hand.client});
   return true;
 }
 
@@ -77,12 +77,12 @@
       clients_->AdoptHeld({descriptors[0], transferred->keep_alive, transferred->head_only});
   const ClientRef client{ClientRef::Frontend::kHttp, number};
   if (!transferred->running)
-    return around_.sink->Tell(RequestTaken{client, std::move(transferred->job)});
+    return context_.sink->Tell(RequestTaken{client, std::move(transferred->job)});
   const std::uint64_t resume = next_++;
   JobAdopted adopted{client, std::move(transferred->job), transferred->running->worker,
                      transferred->may_have_run, resume};
   arrived_.emplace(resume, Arrived{descriptors[1], std::move(*transferred->running)});
-  around_.sink->Tell(std::move(adopted));
+  context_.sink->Tell(std::move(adopted));
   // One that the core did not take up, as of a class that is not known here, is given up.
   if (const auto left = arrived_.extract(resume); !left.empty())
     close(left.mapped().worker_fd);
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "daemon/part.h"
+#include "daemon/component.h"
 #include "http/frontend.h"
 #include "http/worker_client.h"
 #include "upgrade/descriptor_channel.h"
@@ -20,7 +20,7 @@
 
 class JobTransfer {
  public:
-  JobTransfer(const Surroundings& around, HttpFrontend* clients, WorkerClient* workers);
+  JobTransfer(const ComponentContext& context, HttpFrontend* clients, WorkerClient* workers);
 
   // Where jobs come to this process. Throws std::runtime_error if it cannot listen there.
   void ReceiveAt(const std::string& path);
@@ -39,7 +39,7 @@
   bool SendOne(const JobInHand& in_hand);
   void Receive(std::string_view message, std::vector<int> descriptors);
 
-  const Surroundings around_;
+  const ComponentContext context_;
   HttpFrontend* clients_;
   WorkerClient* workers_;
   std::unique_ptr<upgrade::DescriptorReceiver> receiver_;
--- a/src/daemon/platform_part.cpp
+++ b/src/daemon/platform_component.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "core/readiness.h"
+#include "daemon/components.h"
 #include "daemon/job_transfer.h"
-#include "daemon/parts.h"
 #include "http/discovery.h"
 #include "http/frontend.h"
 #include "http/worker_client.h"
@@ -24,7 +24,7 @@
     s.keyed[job_class.name] = job_class.repeat == dispatch::Repeat::kKeyed;
     s.longest_deadline = std::max(s.longest_deadline, job_class.deadline);
   }
-  s.most_connections = static_cast<std::size_t>(Shares(c).clients);
+  s.most_connections = static_cast<std::size_t>(DescriptorShares(c).clients);
   s.shares_endpoint = c.mgmt.has_value();
   s.most_bytes = (static_cast<std::size_t>(c.memory_mb) << 20) / 8;
   return s;
@@ -54,50 +54,51 @@
           CallPacing(c.module.nodes, c.module.must_ask_in / 2, c.seed)};
 }
 
-class PlatformPart : public Part, public AttemptTransport, public ResponseSink {
+class PlatformComponent : public Component, public AttemptTransport, public ResponseSink {
  public:
-  explicit PlatformPart(const Surroundings& around) : around_(around) {}
+  explicit PlatformComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& c) override {
-    workers_ = std::make_unique<WorkerClient>(around_.base, c.dial_timeout, Shares(c).workers, around_.sink);
+    workers_ = std::make_unique<WorkerClient>(context_.base, c.dial_timeout, DescriptorShares(c).workers,
+                                              context_.sink);
     if (c.discovery)
-      discovery_ = std::make_unique<Discovery>(around_.base, *c.discovery, c.known_version, ClockAtStart(c),
-                                               around_.sink);
+      discovery_ = std::make_unique<Discovery>(context_.base, *c.discovery, c.known_version, ClockAtStart(c),
+                                               context_.sink);
     // Where lists are pushed the module does not ask, and what the agent has counts as told from the start.
     if (discovery_ != nullptr && !c.module.subscribe)
       discovery_->Watch();
-    clients_ = std::make_unique<HttpFrontend>(around_.base, c.listen, ForClients(c), around_.sink,
+    clients_ = std::make_unique<HttpFrontend>(context_.base, c.listen, ForClients(c), context_.sink,
                                               [this] { return Ready(); });
     limits_ = LimitsOf(c);
-    around_.offers->share_descriptors = [this](int processes) {
+    context_.registry->share_descriptors = [this](int processes) {
       processes_ = processes;
       ApplyLimits(nullptr);
     };
-    transfer_ = std::make_unique<JobTransfer>(around_, clients_.get(), workers_.get());
-    around_.offers->resume = [this](const ResumeAttempt& resume) { transfer_->Resume(resume); };
+    transfer_ = std::make_unique<JobTransfer>(context_, clients_.get(), workers_.get());
+    context_.registry->resume = [this](const ResumeAttempt& resume) { transfer_->Resume(resume); };
     ReceiveJobs();
     // Beside another process nobody is served worse for waiting until this one can serve.
-    if (around_.offers->other_processes().count() == 0)
+    if (context_.registry->other_processes().count() == 0)
       Listen();
     else
       ListenOnceReady();
     listen_ = c.listen;
     discovered_at_ = c.discovery;
-    Offers& offers = *around_.offers;
-    offers.attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kDiscovery)] = this;
-    offers.response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kHttp)] = this;
-    offers.watch_endpoint_list = [this] {
+    ComponentRegistry& registry = *context_.registry;
+    registry.attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kDiscovery)] = this;
+    registry.response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kHttp)] = this;
+    registry.watch_endpoint_list = [this] {
       if (discovery_ != nullptr)
         discovery_->Watch();
     };
-    offers.why_not_ready = [this] { return WhyNotReady(); };
-    offers.probe = [this](const ProbeWorker& probe) { workers_->Probe(probe); };
-    offers.probe_for = [this](const ProbeWorker& probe, std::function<void(ProbeCompleted)> done) {
+    registry.why_not_ready = [this] { return WhyNotReady(); };
+    registry.probe = [this](const ProbeWorker& probe) { workers_->Probe(probe); };
+    registry.probe_for = [this](const ProbeWorker& probe, std::function<void(ProbeCompleted)> done) {
       workers_->Probe(probe, std::move(done));
     };
   }
 
-  void Announce() override {
+  void OnAllStarted() override {
     Log(LogLevel::kInfo, "door",
         {{"name", "http"}, {"address", listen_.host + ":" + std::to_string(clients_->port())}});
   }
@@ -108,17 +109,17 @@
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { clients_->Reply(client, answer); }
   bool HasLeft(std::uint64_t client) const override { return clients_->HasLeft(client); }
 
-  void Prepare(const Config& next) override {
+  void PrepareReload(const Config& next) override {
     if (!(next.listen == listen_))
       response_sink_ = clients_->Open(next.listen);
   }
-  void Abandon() override { response_sink_.reset(); }
-  void Adopt(const Config& c) override {
+  void CancelReload() override { response_sink_.reset(); }
+  void ApplyReload(const Config& c) override {
     limits_ = LimitsOf(c);
     ApplyLimits(std::move(response_sink_));
     listen_ = c.listen;
   }
-  void Adopted(const Config& c) override {
+  void OnReloadApplied(const Config& c) override {
     if (c.discovery == discovered_at_)
       return;
     discovered_at_ = c.discovery;
@@ -126,33 +127,33 @@
         {{"address", c.discovery ? ToText(*c.discovery) : std::string("none")}});
     if (!c.discovery) {
       discovery_.reset();
-      return around_.sink->Tell(EndpointListLease{EndpointListLease::kForEver});
+      return context_.sink->Tell(EndpointListLease{EndpointListLease::kForEver});
     }
     // Its versions are its own: the whole list first, and until then the workers that are known serve on.
     DiscoveryClock clock = Clock(c);
     clock.Begin(SteadyNow(), MovedHold(c));
-    discovery_ = std::make_unique<Discovery>(around_.base, *c.discovery, std::nullopt, std::move(clock),
-                                             around_.sink, std::move(discovery_));
+    discovery_ = std::make_unique<Discovery>(context_.base, *c.discovery, std::nullopt, std::move(clock),
+                                             context_.sink, std::move(discovery_));
     discovery_->Watch();
   }
 
   void BeginDrain() override {
     clients_->BeginDrain();
-    const upgrade::OtherProcesses others = around_.offers->processes_listening();
-    around_.offers->tell_listening(false);
+    const upgrade::OtherProcesses others = context_.registry->processes_listening();
+    context_.registry->tell_listening(false);
     // They are numbered as they came; newcomers go to the newest of the others.
     if (others.count() > 0 && clients_->Listens())
       clients_->RouteNewConnectionsTo(
           static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1));
     if (others.count() > 0)
-      transfer_->SendTo(around_.offers->other_job_socket());
+      transfer_->SendTo(context_.registry->other_job_socket());
   }
   bool Quiet() const override { return clients_->Quiet() && clients_->SinceLastAccept() >= kQuietFor; }
 
  private:
-  const Surroundings around_;
+  const ComponentContext context_;
   DiscoveryClock ClockAtStart(const Config& c) const {
-    const Micros now = around_.now(), steady = SteadyNow();
+    const Micros now = context_.now(), steady = SteadyNow();
     DiscoveryClock clock = Clock(c);
     clock.BeginRemembered(steady, steady - (now - RememberedAt(c.known, now)));
     return clock;
@@ -168,16 +169,18 @@
     Micros dial_timeout = 0;
     int workers = 0;
   };
-  static Limits LimitsOf(const Config& c) { return {ForClients(c), c.dial_timeout, Shares(c).workers}; }
+  static Limits LimitsOf(const Config& c) {
+    return {ForClients(c), c.dial_timeout, DescriptorShares(c).workers};
+  }
   void ApplyLimits(EventPtr<evconnlistener> listener) {
     HttpFrontendSettings clients = limits_.clients;
     clients.most_connections /= static_cast<std::size_t>(processes_);
-    clients_->Adopt(std::move(clients), std::move(listener));
-    workers_->Adopt(limits_.dial_timeout, limits_.workers / processes_);
+    clients_->ApplySettings(std::move(clients), std::move(listener));
+    workers_->ApplySettings(limits_.dial_timeout, limits_.workers / processes_);
   }
   // Where that fails, only what is in hand at an upgrade is worse off.
   void ReceiveJobs() {
-    const std::string path = around_.offers->own_job_socket();
+    const std::string path = context_.registry->own_job_socket();
     if (path.empty())
       return;
     try {
@@ -188,17 +191,17 @@
   }
   void Listen() {
     clients_->Listen();
-    around_.offers->tell_listening(true);
+    context_.registry->tell_listening(true);
   }
   void ListenOnceReady() {
     if (Ready())
       return Listen();
     ready_timer_.Set(kLookIfReadyEvery);
   }
-  bool Ready() { return readiness_.Ready(SteadyNow(), around_.reducer->ListConfirmed()); }
+  bool Ready() { return readiness_.Ready(SteadyNow(), context_.reducer->ListConfirmed()); }
 
   Readiness readiness_{SteadyNow()};
-  Timer ready_timer_{around_.base, [this] { ListenOnceReady(); }};
+  Timer ready_timer_{context_.base, [this] { ListenOnceReady(); }};
   Limits limits_;
   int processes_ = 1;
   std::unique_ptr<WorkerClient> workers_;
@@ -212,8 +215,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> MakePlatformPart(const Surroundings& surroundings) {
-  return std::make_unique<PlatformPart>(surroundings);
+std::unique_ptr<Component> MakePlatformComponent(const ComponentContext& context) {
+  return std::make_unique<PlatformComponent>(context);
 }
 
 }  // namespace aldersill
--- a/src/daemon/upgrade_part.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "daemon/parts.h"
+#include "daemon/components.h"
 #include "log/log.h"
 #include "net/event_loop.h"
 #include "upgrade/shared_folder.h"
@@ -17,30 +17,30 @@
 // A ban that the other process was told binds this one as well, from the answer on.
 constexpr Micros kLookEvery = 100 * kMillisecond;
 
-class UpgradePart : public Part {
+class UpgradeComponent : public Component {
  public:
-  explicit UpgradePart(const Surroundings& around)
-      : around_(around), look_(around.base, [this] { Look(); }) {}
+  explicit UpgradeComponent(const ComponentContext& context)
+      : context_(context), look_(context.base, [this] { Look(); }) {}
 
   void Start(const Config& c) override {
-    Offers& offers = *around_.offers;
-    offers.other_processes = [this] { return folder_ ? folder_->Others() : upgrade::OtherProcesses{}; };
-    offers.processes_listening = [this] {
+    ComponentRegistry& registry = *context_.registry;
+    registry.other_processes = [this] { return folder_ ? folder_->Others() : upgrade::OtherProcesses{}; };
+    registry.processes_listening = [this] {
       return folder_ ? folder_->OthersListening() : upgrade::OtherProcesses{};
     };
-    offers.tell_listening = [this](bool listens) {
+    registry.tell_listening = [this](bool listens) {
       if (folder_)
         folder_->TellListening(listens);
     };
-    offers.own_job_socket = [this] { return folder_ ? folder_->OwnSocket() : std::string(); };
-    offers.other_job_socket = [this] { return folder_ ? folder_->NewestListeningSocket() : std::string(); };
-    offers.keep_ban = [this](const std::string& worker, bool banned) { Keep(worker, banned); };
+    registry.own_job_socket = [this] { return folder_ ? folder_->OwnSocket() : std::string(); };
+    registry.other_job_socket = [this] { return folder_ ? folder_->NewestListeningSocket() : std::string(); };
+    registry.keep_ban = [this](const std::string& worker, bool banned) { Keep(worker, banned); };
     const char* root = std::getenv("TMPDIR");
     if (!c.mgmt || c.listen.port == 0 || root == nullptr || *root == '\0')
       return;
     try {
       folder_.emplace(std::string(root) + "/aldersill-" + ToText(c.listen),
-                      static_cast<std::uint64_t>(around_.now()) * 1'000);
+                      static_cast<std::uint64_t>(context_.now()) * 1'000);
     } catch (const std::runtime_error& e) {
       return Log(LogLevel::kWarning, "upgrade_unshared", {{"why", e.what()}});
     }
@@ -58,8 +58,8 @@
     if (folder_->BansChanged())
       TakeOver();
     const int others = folder_->Others().count();
-    if (std::exchange(others_, others) != others && around_.offers->share_descriptors)
-      around_.offers->share_descriptors(1 + others);
+    if (std::exchange(others_, others) != others && context_.registry->share_descriptors)
+      context_.registry->share_descriptors(1 + others);
   }
 
   void TakeOver() {
@@ -70,20 +70,20 @@
   }
 
   void Apply(const upgrade::BanList& bans) {
-    const upgrade::BanList before = around_.reducer->banned();
+    const upgrade::BanList before = context_.reducer->banned();
     for (const std::string& worker : bans) {
       if (!before.contains(worker))
-        around_.sink->Tell(WorkerBanned{worker, true});
+        context_.sink->Tell(WorkerBanned{worker, true});
     }
     for (const std::string& worker : before) {
       if (!bans.contains(worker))
-        around_.sink->Tell(WorkerBanned{worker, false});
+        context_.sink->Tell(WorkerBanned{worker, false});
     }
   }
 
   void Keep(const std::string& worker, bool banned) {
     if (!folder_)
-      return around_.sink->Tell(WorkerBanned{worker, banned});
+      return context_.sink->Tell(WorkerBanned{worker, banned});
     try {
       Apply(folder_->ChangeBans([&](upgrade::BanList* bans) {
         if (banned)
@@ -93,11 +93,11 @@
       }));
     } catch (const std::runtime_error& e) {
       Log(LogLevel::kWarning, "ban_unshared", {{"worker", worker}, {"why", e.what()}});
-      around_.sink->Tell(WorkerBanned{worker, banned});
+      context_.sink->Tell(WorkerBanned{worker, banned});
     }
   }
 
-  const Surroundings around_;
+  const ComponentContext context_;
   std::optional<upgrade::SharedFolder> folder_;
   Timer look_;
   int others_ = 0;
@@ -105,8 +105,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> MakeUpgradePart(const Surroundings& surroundings) {
-  return std::make_unique<UpgradePart>(surroundings);
+std::unique_ptr<Component> MakeUpgradeComponent(const ComponentContext& context) {
+  return std::make_unique<UpgradeComponent>(context);
 }
 
 }  // namespace aldersill
--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -93,7 +93,7 @@
   std::optional<ProbeResult> LastOf(const std::string& worker) const;
   const ProbeCounters& counters() const { return counters_; }
   const ProbeSettings& settings() const { return settings_; }
-  void Adopt(ProbeSettings settings) { settings_ = std::move(settings); }
+  void ApplySettings(ProbeSettings settings) { settings_ = std::move(settings); }
 
  private:
   struct Worker {
--- a/src/faktory/frontend.cpp
+++ b/src/faktory/frontend.cpp
@@ -271,7 +271,7 @@
   return ListenOn(base_, listen, "faktory.listen", &Frontend::OnAccept, this);
 }
 
-void Frontend::Adopt(FrontendSettings settings, EventPtr<evconnlistener> listener) {
+void Frontend::ApplySettings(FrontendSettings settings, EventPtr<evconnlistener> listener) {
   settings_ = std::move(settings);
   if (listener == nullptr)
     return;
--- a/src/faktory/frontend.h
+++ b/src/faktory/frontend.h
@@ -32,7 +32,7 @@
   ~Frontend();
 
   // New settings. `listener`: in place of the one it has; null keeps that.
-  void Adopt(FrontendSettings settings, EventPtr<evconnlistener> listener);
+  void ApplySettings(FrontendSettings settings, EventPtr<evconnlistener> listener);
   // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -426,7 +426,7 @@
   return listener;
 }
 
-void HttpFrontend::Adopt(HttpFrontendSettings settings, EventPtr<evconnlistener> listener) {
+void HttpFrontend::ApplySettings(HttpFrontendSettings settings, EventPtr<evconnlistener> listener) {
   settings_ = std::move(settings);
   if (listener != nullptr) {
     listener_ = std::move(listener);
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -44,7 +44,7 @@
   void Listen();
   bool Listens() const { return listens_; }
   // New settings. `listener`: in place of the one it has; null keeps that.
-  void Adopt(HttpFrontendSettings settings, EventPtr<evconnlistener> listener);
+  void ApplySettings(HttpFrontendSettings settings, EventPtr<evconnlistener> listener);
   // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;  // the one it listens on, which the kernel chose if the endpoint had none
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -349,10 +349,10 @@
 
 WorkerClient::WorkerClient(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink)
     : base_(base), sink_(sink) {
-  Adopt(dial_timeout, most_connections);
+  ApplySettings(dial_timeout, most_connections);
 }
 
-void WorkerClient::Adopt(Micros dial_timeout, int most_connections) {
+void WorkerClient::ApplySettings(Micros dial_timeout, int most_connections) {
   dial_timeout_ = dial_timeout;
   most_connections_ = static_cast<std::size_t>(most_connections);
 }
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -31,7 +31,7 @@
   WorkerClient(event_base* base, Micros dial_timeout, int most_connections, EventSink* sink);
   ~WorkerClient();
 
-  void Adopt(Micros dial_timeout, int most_connections);
+  void ApplySettings(Micros dial_timeout, int most_connections);
   // Connects; tells AttemptConnected, and writes nothing before Send.
   void Start(const StartAttempt& start);
   void Send(const SendAttempt& send);
--- a/src/membership/sealer.cpp
+++ b/src/membership/sealer.cpp
@@ -51,7 +51,7 @@
     throw std::runtime_error("membership: libsodium cannot begin");
 }
 
-void Sealer::Adopt(std::vector<Key> keys) { keys_ = std::move(keys); }
+void Sealer::ReplaceKeys(std::vector<Key> keys) { keys_ = std::move(keys); }
 
 std::string Sealer::Seal(Micros unix_now, std::string_view packet) {
   std::string out{static_cast<char>(kFormat), static_cast<char>(IdOf(keys_.front()))};
--- a/src/membership/sealer.h
+++ b/src/membership/sealer.h
@@ -48,7 +48,7 @@
   // std::runtime_error if the library cannot begin.
   Sealer(std::vector<Key> keys, std::uint64_t session);
 
-  void Adopt(std::vector<Key> keys);
+  void ReplaceKeys(std::vector<Key> keys);
   std::string Seal(Micros unix_now, std::string_view packet);
   // The packet, or nothing, and why is counted. A datagram is looked at only as far as it has been found
   // good.
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -31,7 +31,7 @@
   Transport& operator=(const Transport&) = delete;
 
   void Send(const std::string& address, const Packet& packet);
-  void Adopt(std::vector<Key> keys) { sealer_.Adopt(std::move(keys)); }
+  void ReplaceKeys(std::vector<Key> keys) { sealer_.ReplaceKeys(std::move(keys)); }
   int port() const { return port_; }
   const TransportCounters& counters() const { return counters_; }
   const Sealer& sealer() const { return sealer_; }
