--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -113,30 +113,30 @@
                                     r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
 }
 
-std::vector<JobInHand> Reducer::JobsInHand() const {
-  std::vector<JobInHand> jobs;
+std::vector<InFlightJob> Reducer::InFlightJobs() const {
+  std::vector<InFlightJob> jobs;
   for (const auto& [client, number] : by_client_) {
     const Request& r = requests_.at(number);
     if (client.frontend != ClientRef::Frontend::kHttp || r.open > 1)
       continue;
-    JobInHand in_hand{client, r.job, r.deadline - now_, r.first_run != 0 || r.may_have_run, {}, ""};
+    InFlightJob in_flight{client, r.job, r.deadline - now_, r.first_run != 0 || r.may_have_run, {}, ""};
     if (r.open == 1) {
       const auto running =
           std::ranges::find_if(r.attempts, [this](AttemptId x) { return attempts_.contains(x); });
       const Attempt& x = attempts_.at(*running);
       if (!x.sent || x.source != WorkerEndpoint::Source::kDiscovery)
         continue;
-      in_hand.running = *running;
-      in_hand.worker = x.worker;
+      in_flight.running = *running;
+      in_flight.worker = x.worker;
     } else if (!r.attempts.empty()) {
       continue;  // what its attempts came to is this process's to weigh
     }
-    jobs.push_back(std::move(in_hand));
+    jobs.push_back(std::move(in_flight));
   }
   return jobs;
 }
 
-void Reducer::On(JobHandedAway&& e) {
+void Reducer::On(JobTransferred&& e) {
   const auto found = by_client_.find(e.client);
   if (found == by_client_.end())
     return;
@@ -157,7 +157,7 @@
   ForgetIfDone(number);
 }
 
-void Reducer::On(JobAdopted&& e) {
+void Reducer::On(JobReceived&& e) {
   const auto job_class = class_of_.find(e.job.job_class);
   if (job_class == class_of_.end())
     return Ask(Answer{e.client, Failure{}});
@@ -166,7 +166,7 @@
   Request& r = requests_[number];
   r.client = e.client;
   r.counter = job_class->second.counter;
-  r.module = kNoModule;
+  r.module = kNoDispatcher;
   r.may_have_run = e.may_have_run;
   r.taken = now_;
   r.deadline = now_ + std::max<Micros>(1, e.job.time_left);
@@ -186,7 +186,7 @@
   Ask(ResumeAttempt{attempt, r.job, e.resume});
 }
 
-void Reducer::FinishAdopted(std::uint64_t number, Outcome outcome) {
+void Reducer::FinishReceived(std::uint64_t number, Outcome outcome) {
   const Request& r = requests_.at(number);
   const auto job_class = class_of_.find(r.job->job_class);
   const bool known = job_class != class_of_.end();
@@ -214,7 +214,7 @@
   ++counters_.classes[r.counter].left;
   TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
   // As a module would have it: what is called off is of use to nobody.
-  if (r.module == kNoModule && settings_.module.cancel)
+  if (r.module == kNoDispatcher && settings_.module.cancel)
     return End(r.attempts.front(), Outcome::kCancelled, "", {}, true);
   ForgetIfDone(number);
 }
@@ -554,8 +554,8 @@
     counters_.classes[r.counter].served_ms += static_cast<std::uint64_t>((now_ - r.taken) / kMillisecond);
     Finish(x.request, Served{std::move(result)});
   }
-  if (r.module == kNoModule && !r.answered)
-    FinishAdopted(x.request, outcome);
+  if (r.module == kNoDispatcher && !r.answered)
+    FinishReceived(x.request, outcome);
   TellModuleOf(r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt_number, outcome, r.answered,
                                          now_ - x.started_at, report});
   ForgetIfDone(x.request);
@@ -593,7 +593,7 @@
   const Request& r = found->second;
   if (r.job->has_idempotent_id)
     repeats_.End(r.job->id, r.first_run);
-  if (r.module != kNoModule)
+  if (r.module != kNoDispatcher)
     --modules_.at(r.module).open;
   requests_.erase(found);
 }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -36,14 +36,14 @@
   // Known workers that get nothing new now: banned, draining, or left alone by the decision module.
   std::size_t AvoidedWorkers() const;
   // Those of HTTP clients that have not been tried, or run at a worker of discovery's list.
-  std::vector<JobInHand> JobsInHand() const;
+  std::vector<InFlightJob> InFlightJobs() const;
   const std::set<std::string>& banned() const { return banned_; }
   // Whether the worker list may be acted on, and discovery, where there is one, has told it to this process.
   bool ListConfirmed() const { return !endpoint_list_expired_ && (heard_ || !settings_.has_discovery); }
 
  private:
   // Of an adopted job, on which no module decides: it is not tried again here.
-  static constexpr std::uint64_t kNoModule = std::numeric_limits<std::uint64_t>::max();
+  static constexpr std::uint64_t kNoDispatcher = std::numeric_limits<std::uint64_t>::max();
 
   struct Request {
     ClientRef client;
@@ -74,8 +74,8 @@
 
   void On(RequestTaken&& e);
   void On(RequestRejectedByFrontend&& e);
-  void On(JobHandedAway&& e);
-  void On(JobAdopted&& e);
+  void On(JobTransferred&& e);
+  void On(JobReceived&& e);
   void On(ClientLeft&& e);
   void On(AttemptConnected&& e);
   void On(AttemptSent&& e);
@@ -114,11 +114,11 @@
       TellModule(number, event);
   }
   void TellModuleOf(const Request& r, dispatch::Event event) {
-    if (r.module != kNoModule)
+    if (r.module != kNoDispatcher)
       TellModule(r.module, std::move(event));
   }
   // The end of an adopted job whose attempt was not served: no module knows of it.
-  void FinishAdopted(std::uint64_t number, Outcome outcome);
+  void FinishReceived(std::uint64_t number, Outcome outcome);
   // Discovery's list may not be acted on any more: nothing new goes to its instances until it is good again.
   void ExpireEndpointList();
   // Ends what is decided but not handed over and may not go to its instance any more.
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -103,12 +103,12 @@
   std::string id;  // empty where none was read
 };
 // Another process of this dispatcher has the job now, and answers it.
-struct JobHandedAway {
+struct JobTransferred {
   ClientRef client;
 };
 // A job that another process of this dispatcher had in hand, with an attempt that its worker has whole. It is
 // carried on by ResumeAttempt under the same number.
-struct JobAdopted {
+struct JobReceived {
   ClientRef client;
   Job job;
   std::string worker;
@@ -167,7 +167,7 @@
   Micros elapsed = 0;
   LoadReport report;
 };
-using Event = std::variant<RequestTaken, JobHandedAway, JobAdopted, RequestRejectedByFrontend, ClientLeft,
+using Event = std::variant<RequestTaken, JobTransferred, JobReceived, RequestRejectedByFrontend, ClientLeft,
                            AttemptConnected, AttemptSent, AttemptProgress, AttemptEnded,
                            AbandonedAttemptEnded, TimerDue, EndpointListUpdate, EndpointListWatchFailed,
                            EndpointListLease, ProbeCompleted, SettingsChanged, SettingsRefused, WorkerBanned>;
@@ -183,7 +183,7 @@
   Micros time_left = 0;
   ClientRef client{};  // whom it is for
 };
-struct ResumeAttempt {  // of JobAdopted
+struct ResumeAttempt {  // of JobReceived
   AttemptId attempt{};
   std::shared_ptr<const Job> job;
   std::uint64_t resume = 0;
@@ -232,7 +232,7 @@
                             ClearTimer, ProbeWorker, WatchEndpointList, LogLine>;
 
 // A job as it could be handed to another process of this dispatcher.
-struct JobInHand {
+struct InFlightJob {
   ClientRef client;
   std::shared_ptr<const Job> job;
   Micros time_left = 0;
--- a/src/daemon/component.h
+++ b/src/daemon/component.h
@@ -17,7 +17,7 @@
 #include "core/reducer.h"
 #include "core/types.h"
 #include "snmp/objects.h"
-#include "upgrade/shared_folder.h"
+#include "upgrade/process_group.h"
 
 namespace aldersill {
 
@@ -51,7 +51,7 @@
   std::function<upgrade::OtherProcesses()> other_processes;
   // Those of them to which clients come, and whether they come to this one.
   std::function<upgrade::OtherProcesses()> processes_listening;
-  std::function<void(bool)> tell_listening;
+  std::function<void(bool)> set_listening;
   // How many processes hold the dispatcher's descriptors between them from now on, this one included.
   std::function<void(int processes)> share_descriptors;
   // Carries on with an attempt that another process handed over.
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -33,34 +33,34 @@
 
 void JobTransfer::SendAll() {
   std::int64_t sent = 0;
-  for (const JobInHand& in_hand : context_.reducer->JobsInHand())
-    sent += SendOne(in_hand);
+  for (const InFlightJob& in_flight : context_.reducer->InFlightJobs())
+    sent += SendOne(in_flight);
   if (sent > 0)
     Log(LogLevel::kInfo, "jobs_handed_over", {{"count", sent}});
   again_.Set(kSendAgainEvery);
 }
 
-bool JobTransfer::SendOne(const JobInHand& in_hand) {
-  const auto client = clients_->Borrow(in_hand.client.number);
+bool JobTransfer::SendOne(const InFlightJob& in_flight) {
+  const auto client = clients_->PrepareTransfer(in_flight.client.number);
   if (!client)
     return false;
   std::vector<int> descriptors{client->fd};
   upgrade::TransferredJob transferred{
-      *in_hand.job, in_hand.may_have_run, client->keep_alive, client->head_only, {}};
-  transferred.job.time_left = in_hand.time_left;
-  if (in_hand.running) {
-    auto worker = workers_->Borrow(*in_hand.running);
+      *in_flight.job, in_flight.may_have_run, client->keep_alive, client->head_only, {}};
+  transferred.job.time_left = in_flight.time_left;
+  if (in_flight.running) {
+    auto worker = workers_->PrepareTransfer(*in_flight.running);
     if (!worker)
       return false;
     descriptors.push_back(worker->fd);
-    transferred.running = {in_hand.worker, std::move(worker->address), std::move(worker->received)};
+    transferred.running = {in_flight.worker, std::move(worker->address), std::move(worker->received)};
   }
   if (!sender_->Send(upgrade::EncodeJob(transferred), descriptors))
     return false;
-  clients_->Forget(in_hand.client.number);
-  if (in_hand.running)
-    workers_->Forget(*in_hand.running);
-  context_.sink->Tell(JobHandedAway{in_hand.client});
+  clients_->CompleteTransfer(in_flight.client.number);
+  if (in_flight.running)
+    workers_->CompleteTransfer(*in_flight.running);
+  context_.sink->Tell(JobTransferred{in_flight.client});
   return true;
 }
 
@@ -74,13 +74,13 @@
     return;
   }
   const std::uint64_t number =
-      clients_->AdoptHeld({descriptors[0], transferred->keep_alive, transferred->head_only});
+      clients_->ReceiveTransfer({descriptors[0], transferred->keep_alive, transferred->head_only});
   const ClientRef client{ClientRef::Frontend::kHttp, number};
   if (!transferred->running)
     return context_.sink->Tell(RequestTaken{client, std::move(transferred->job)});
   const std::uint64_t resume = next_++;
-  JobAdopted adopted{client, std::move(transferred->job), transferred->running->worker,
-                     transferred->may_have_run, resume};
+  JobReceived adopted{client, std::move(transferred->job), transferred->running->worker,
+                      transferred->may_have_run, resume};
   arrived_.emplace(resume, Arrived{descriptors[1], std::move(*transferred->running)});
   context_.sink->Tell(std::move(adopted));
   // One that the core did not take up, as of a class that is not known here, is given up.
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -36,7 +36,7 @@
   };
 
   void SendAll();
-  bool SendOne(const JobInHand& in_hand);
+  bool SendOne(const InFlightJob& in_flight);
   void Receive(std::string_view message, std::vector<int> descriptors);
 
   const ComponentContext context_;
--- a/src/daemon/platform_component.cpp
+++ b/src/daemon/platform_component.cpp
@@ -140,7 +140,7 @@
   void BeginDrain() override {
     clients_->BeginDrain();
     const upgrade::OtherProcesses others = context_.registry->processes_listening();
-    context_.registry->tell_listening(false);
+    context_.registry->set_listening(false);
     // They are numbered as they came; newcomers go to the newest of the others.
     if (others.count() > 0 && clients_->Listens())
       clients_->RouteNewConnectionsTo(
@@ -191,7 +191,7 @@
   }
   void Listen() {
     clients_->Listen();
-    context_.registry->tell_listening(true);
+    context_.registry->set_listening(true);
   }
   void ListenOnceReady() {
     if (Ready())
--- a/src/daemon/upgrade_component.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -9,7 +9,7 @@
 #include "daemon/components.h"
 #include "log/log.h"
 #include "net/event_loop.h"
-#include "upgrade/shared_folder.h"
+#include "upgrade/process_group.h"
 
 namespace aldersill {
 namespace {
@@ -28,9 +28,9 @@
     registry.processes_listening = [this] {
       return folder_ ? folder_->OthersListening() : upgrade::OtherProcesses{};
     };
-    registry.tell_listening = [this](bool listens) {
+    registry.set_listening = [this](bool listens) {
       if (folder_)
-        folder_->TellListening(listens);
+        folder_->SetListening(listens);
     };
     registry.own_job_socket = [this] { return folder_ ? folder_->OwnSocket() : std::string(); };
     registry.other_job_socket = [this] { return folder_ ? folder_->NewestListeningSocket() : std::string(); };
@@ -98,7 +98,7 @@
   }
 
   const ComponentContext context_;
-  std::optional<upgrade::SharedFolder> folder_;
+  std::optional<upgrade::ProcessGroup> folder_;
   Timer look_;
   int others_ = 0;
 };
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -169,13 +169,13 @@
 
   std::uint64_t client() const { return client_; }  // 0 without a request in hand
   // What another process needs to answer the request in hand; nothing where bytes behind it would be lost.
-  std::optional<HeldConnection> Held() const {
+  std::optional<TransferredConnection> Held() const {
     if (state_ != State::kHeld || rest_ != nullptr || Waiting() || Ended())
       return std::nullopt;
-    return HeldConnection{bufferevent_getfd(stream_.get()), keep_ && !last_, head_only_};
+    return TransferredConnection{bufferevent_getfd(stream_.get()), keep_ && !last_, head_only_};
   }
   // Goes on with the request that another process read.
-  void Hold(std::uint64_t client, const HeldConnection& held) {
+  void Hold(std::uint64_t client, const TransferredConnection& held) {
     timer_.Clear();
     ++served_;
     keep_ = held.keep_alive;
@@ -543,14 +543,14 @@
   return found != held_.end() && found->second->Ended();
 }
 
-std::optional<HeldConnection> HttpFrontend::Borrow(std::uint64_t client) const {
+std::optional<TransferredConnection> HttpFrontend::PrepareTransfer(std::uint64_t client) const {
   const auto found = held_.find(client);
   if (found == held_.end())
     return std::nullopt;
   return found->second->Held();
 }
 
-void HttpFrontend::Forget(std::uint64_t client) {
+void HttpFrontend::CompleteTransfer(std::uint64_t client) {
   const auto found = held_.find(client);
   if (found == held_.end())
     return;
@@ -559,7 +559,7 @@
   connections_.erase(connection);
 }
 
-std::uint64_t HttpFrontend::AdoptHeld(const HeldConnection& held) {
+std::uint64_t HttpFrontend::ReceiveTransfer(const TransferredConnection& held) {
   auto connection = std::make_unique<Connection>(this, held.fd);
   Connection* raw = connection.get();
   connections_.emplace(raw, std::move(connection));
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -27,7 +27,7 @@
 };
 
 // A connection with a request in hand, between two processes.
-struct HeldConnection {
+struct TransferredConnection {
   evutil_socket_t fd = -1;
   bool keep_alive = false;  // after the answer
   bool head_only = false;   // the answer goes without its body
@@ -54,11 +54,11 @@
 
   // The connection of a client that waits for its answer; nothing for one that has gone, or has sent more
   // than its request. It stays this frontend's until Forget.
-  std::optional<HeldConnection> Borrow(std::uint64_t client) const;
+  std::optional<TransferredConnection> PrepareTransfer(std::uint64_t client) const;
   // Lets go of it without a word to the client or the core: another process has it.
-  void Forget(std::uint64_t client);
+  void CompleteTransfer(std::uint64_t client);
   // Takes one over, and gives the client's number here.
-  std::uint64_t AdoptHeld(const HeldConnection& held);
+  std::uint64_t ReceiveTransfer(const TransferredConnection& held);
 
   // From now on connections end between requests; new ones are still taken.
   void BeginDrain();
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -359,14 +359,14 @@
 
 WorkerClient::~WorkerClient() = default;
 
-std::optional<TransferredAttempt> WorkerClient::Borrow(AttemptId attempt) const {
+std::optional<TransferredAttempt> WorkerClient::PrepareTransfer(AttemptId attempt) const {
   const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return std::nullopt;
   return found->second->Running();
 }
 
-void WorkerClient::Forget(AttemptId attempt) {
+void WorkerClient::CompleteTransfer(AttemptId attempt) {
   const auto found = busy_.find(attempt);
   if (found == busy_.end())
     return;
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -38,9 +38,9 @@
   void Stop(AttemptId attempt);
   // Nothing for one that is not handed over, or has answered too much to be told again. It stays this link's
   // until Forget.
-  std::optional<TransferredAttempt> Borrow(AttemptId attempt) const;
+  std::optional<TransferredAttempt> PrepareTransfer(AttemptId attempt) const;
   // Lets go of it without a word: another process has it.
-  void Forget(AttemptId attempt);
+  void CompleteTransfer(AttemptId attempt);
   // Goes on with one that another process handed over.
   void Resume(AttemptId attempt, std::shared_ptr<const Job> job, const TransferredAttempt& running);
   // Tells the sink.
--- a/src/upgrade/shared_folder.cpp
+++ b/src/upgrade/process_group.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/shared_folder.h"
+#include "upgrade/process_group.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-SharedFolder::SharedFolder(fs::path folder, std::uint64_t now)
+ProcessGroup::ProcessGroup(fs::path folder, std::uint64_t now)
     : folder_(std::move(folder)), own_(ProcessName(now)) {
   std::error_code error;
   fs::create_directories(folder_, error);
@@ -68,29 +68,29 @@
   own_fd_ = file.Release();
 }
 
-SharedFolder::~SharedFolder() {
+ProcessGroup::~ProcessGroup() {
   std::error_code ignored;
   fs::remove(folder_ / own_, ignored);
   close(own_fd_);
 }
 
-OtherProcesses SharedFolder::Others() const { return Count(false); }
-OtherProcesses SharedFolder::OthersListening() const { return Count(true); }
+OtherProcesses ProcessGroup::Others() const { return Count(false); }
+OtherProcesses ProcessGroup::OthersListening() const { return Count(true); }
 
 // A process's file holds something while it listens.
-void SharedFolder::TellListening(bool listens) {
+void ProcessGroup::SetListening(bool listens) {
   const off_t size = listens ? 1 : 0;
   static_cast<void>(ftruncate(own_fd_, size) == 0);
 }
 
-OtherProcesses SharedFolder::Count(bool listening_only) const {
+OtherProcesses ProcessGroup::Count(bool listening_only) const {
   OtherProcesses others;
   for (const std::string& name : Present(listening_only))
     ++(name < own_ ? others.older : others.newer);
   return others;
 }
 
-std::vector<std::string> SharedFolder::Present(bool listening_only) const {
+std::vector<std::string> ProcessGroup::Present(bool listening_only) const {
   std::vector<std::string> names;
   std::error_code error;
   for (fs::directory_iterator at(folder_, error), end; !error && at != end; at.increment(error)) {
@@ -110,30 +110,30 @@
 }
 
 // A socket's path must be short: the time alone.
-std::string SharedFolder::SocketOf(const std::string& process) const {
+std::string ProcessGroup::SocketOf(const std::string& process) const {
   return (folder_ / ("jobs-" + process.substr(std::strlen(kProcess)))).string();
 }
 
-std::string SharedFolder::OwnSocket() const { return SocketOf(own_); }
+std::string ProcessGroup::OwnSocket() const { return SocketOf(own_); }
 
-std::string SharedFolder::NewestListeningSocket() const {
+std::string ProcessGroup::NewestListeningSocket() const {
   const std::vector<std::string> names = Present(true);
   return names.empty() ? "" : SocketOf(names.back());
 }
 
-bool SharedFolder::Changed() {
+bool ProcessGroup::Changed() {
   std::error_code error;
   const auto written = fs::last_write_time(folder_, error);
   return !error && std::exchange(looked_at_, written) != written;
 }
 
-bool SharedFolder::BansChanged() const {
+bool ProcessGroup::BansChanged() const {
   std::error_code error;
   const auto written = fs::last_write_time(folder_ / kBans, error);
   return !error && written != read_at_;
 }
 
-std::optional<BanList> SharedFolder::ReadBans() {
+std::optional<BanList> ProcessGroup::ReadBans() {
   std::error_code error;
   // Before the text: what is written in between is read again.
   const auto written = fs::last_write_time(folder_ / kBans, error);
@@ -146,7 +146,7 @@
   return DecodeBans(text.str());
 }
 
-BanList SharedFolder::ChangeBans(const std::function<void(BanList*)>& change) {
+BanList ProcessGroup::ChangeBans(const std::function<void(BanList*)>& change) {
   const OpenFile lock(folder_ / kBansLock, O_RDWR | O_CREAT);
   if (!lock.opened() || !lock.Lock(LOCK_EX))
     Throw("cannot lock", folder_ / kBansLock);
--- a/src/upgrade/shared_folder.h
+++ b/src/upgrade/process_group.h
@@ -1,8 +1,8 @@
 // The folder that the processes of one dispatcher share while one is upgraded to the next: who is there, and
 // the bans. A process is there while it holds the lock on its file, which the kernel lets go of however it
 // ends.
-#ifndef ALDERSILL_SRC_UPGRADE_SHARED_FOLDER_H_
-#define ALDERSILL_SRC_UPGRADE_SHARED_FOLDER_H_
+#ifndef ALDERSILL_SRC_UPGRADE_PROCESS_GROUP_H_
+#define ALDERSILL_SRC_UPGRADE_PROCESS_GROUP_H_
 
 #include <cstdint>
 #include <filesystem>
@@ -21,20 +21,20 @@
   int count() const { return older + newer; }
 };
 
-class SharedFolder {
+class ProcessGroup {
  public:
   // Joins: makes the folder where it lacks, and holds the lock on a file of its own. `now`: what the file is
   // named by, so that later processes have later names, in nanoseconds. Throws std::runtime_error where that
   // cannot be done.
-  SharedFolder(std::filesystem::path folder, std::uint64_t now);
-  ~SharedFolder();
-  SharedFolder(const SharedFolder&) = delete;
-  SharedFolder& operator=(const SharedFolder&) = delete;
+  ProcessGroup(std::filesystem::path folder, std::uint64_t now);
+  ~ProcessGroup();
+  ProcessGroup(const ProcessGroup&) = delete;
+  ProcessGroup& operator=(const ProcessGroup&) = delete;
 
   OtherProcesses Others() const;
   // Those of them that listen for clients, by what they told last.
   OtherProcesses OthersListening() const;
-  void TellListening(bool listens);
+  void SetListening(bool listens);
   // Where this process may be reached by the others, and the newest of those that listen; empty where none
   // does.
   std::string OwnSocket() const;
@@ -63,4 +63,4 @@
 
 }  // namespace aldersill::upgrade
 
-#endif  // ALDERSILL_SRC_UPGRADE_SHARED_FOLDER_H_
+#endif  // ALDERSILL_SRC_UPGRADE_PROCESS_GROUP_H_
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -17,13 +17,13 @@
 #include "standins.h"
 #include "upgrade/ban_list.h"
 #include "upgrade/job_codec.h"
-#include "upgrade/shared_folder.h"
+#include "upgrade/process_group.h"
 
 namespace aldersill::tests {
 namespace {
 
 using tools::Socket;
-using upgrade::SharedFolder;
+using upgrade::ProcessGroup;
 
 class Folder {
  public:
@@ -54,15 +54,15 @@
 
 TEST_CASE("processes see one another while they are there, and bans are one list for all") {
   const Folder folder;
-  SharedFolder first(folder.path, 1);
+  ProcessGroup first(folder.path, 1);
   CHECK(first.Others().count() == 0);
   {
-    SharedFolder second(folder.path, 2);
+    ProcessGroup second(folder.path, 2);
     CHECK(first.Others().newer == 1);
     CHECK(second.Others().older == 1);
     CHECK(first.OthersListening().count() == 0);
     CHECK(first.NewestListeningSocket().empty());
-    second.TellListening(true);
+    second.SetListening(true);
     CHECK(first.OthersListening().newer == 1);
     CHECK(first.NewestListeningSocket() == second.OwnSocket());
     first.ChangeBans([](upgrade::BanList* bans) { bans->insert("s-1"); });
@@ -107,7 +107,7 @@
   CoreSettings settings;
   settings.module.classes = {{.name = "job", .repeat = repeat, .window = kSecond}};
   Reducer reducer(settings);
-  JobAdopted adopted;
+  JobReceived adopted;
   adopted.job.job_class = "job";
   adopted.job.time_left = kSecond;
   adopted.worker = "s-1";
