--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -50,9 +50,9 @@
     ExpireEndpointList();
   std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
   // The module is never called from within its own actions: what they bring about waits its turn here.
-  while (!for_module_.empty()) {
-    const auto [number, next] = std::move(for_module_.front());
-    for_module_.pop_front();
+  while (!dispatcher_events_.empty()) {
+    const auto [number, next] = std::move(dispatcher_events_.front());
+    dispatcher_events_.pop_front();
     const auto module = modules_.find(number);
     if (module == modules_.end())
       continue;  // done with: only its timers are still left
@@ -74,7 +74,7 @@
 void Reducer::On(RequestTaken&& e) {
   const auto job_class = class_of_.find(e.job.job_class);
   if (job_class == class_of_.end()) {  // frontends answer these themselves; whoever doesn't must not crash us
-    Ask(Answer{e.client, Failure{}});
+    Emit(Answer{e.client, Failure{}});
     return;
   }
   const auto [setting, counter] = job_class->second;
@@ -89,8 +89,8 @@
     ++counters_.repeats_rejected;
     ++(never ? counters_.classes[counter].failed : counters_.classes[counter].rejected);
     if (never)
-      return Ask(Answer{e.client, Failure{Failure::Why::kRepeat}});
-    return Ask(Answer{e.client, Rejection{Rejection::Why::kRepeatOut, settings_.module.max_retry_after}});
+      return Emit(Answer{e.client, Failure{Failure::Why::kRepeat}});
+    return Emit(Answer{e.client, Rejection{Rejection::Why::kRepeatOut, settings_.module.max_retry_after}});
   }
   const std::uint64_t number = next_request_++;
   Request& r = requests_[number];
@@ -109,8 +109,8 @@
     repeats_.Begin(e.job.id);
   r.job = std::make_shared<const Job>(std::move(e.job));
   by_client_[r.client] = number;
-  TellModuleOf(r, dispatch::Arrival{ModuleId(number), r.job->job_class, r.job->tenant, r.job->subject,
-                                    r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
+  PostToDispatcherOf(r, dispatch::Arrival{ModuleId(number), r.job->job_class, r.job->tenant, r.job->subject,
+                                          r.deadline - now_, r.job->work, r.job->slots, r.job->is_retry});
 }
 
 std::vector<InFlightJob> Reducer::InFlightJobs() const {
@@ -144,13 +144,13 @@
   by_client_.erase(found);
   Request& r = requests_.at(number);
   r.answered = true;
-  TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
+  PostToDispatcherOf(r, dispatch::ClientGone{ModuleId(number)});
   for (const AttemptId x : r.attempts) {
     if (attempts_.erase(x) == 0)
       continue;
-    Ask(ClearTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(x)}});
+    Emit(ClearTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(x)}});
     --r.open;
-    TellModuleOf(
+    PostToDispatcherOf(
         r, dispatch::AttemptEnded{
                ModuleId(number), static_cast<int>(r.attempts.size()) - 1, Outcome::kCancelled, true, 0, {}});
   }
@@ -160,7 +160,7 @@
 void Reducer::On(JobReceived&& e) {
   const auto job_class = class_of_.find(e.job.job_class);
   if (job_class == class_of_.end())
-    return Ask(Answer{e.client, Failure{}});
+    return Emit(Answer{e.client, Failure{}});
   const std::uint64_t number = next_request_++;
   const AttemptId attempt{next_attempt_++};
   Request& r = requests_[number];
@@ -182,8 +182,8 @@
                         .give_up_at = r.deadline,
                         .sent = true,
                         .sent_at = now_};
-  Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(attempt)}, r.deadline - now_});
-  Ask(ResumeAttempt{attempt, r.job, e.resume});
+  Emit(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(attempt)}, r.deadline - now_});
+  Emit(ResumeAttempt{attempt, r.job, e.resume});
 }
 
 void Reducer::FinishReceived(std::uint64_t number, Outcome outcome) {
@@ -212,7 +212,7 @@
   Request& r = requests_.at(number);
   r.answered = true;  // nobody is left to answer
   ++counters_.classes[r.counter].left;
-  TellModuleOf(r, dispatch::ClientGone{ModuleId(number)});
+  PostToDispatcherOf(r, dispatch::ClientGone{ModuleId(number)});
   // As a module would have it: what is called off is of use to nobody.
   if (r.module == kNoDispatcher && settings_.module.cancel)
     return End(r.attempts.front(), Outcome::kCancelled, "", {}, true);
@@ -228,7 +228,7 @@
   const Attempt& x = found->second;
   if (!MayStillGo(x) || requests_.at(x.request).answered || now_ >= x.start_by)
     return End(e.attempt, Outcome::kNotSent, "", {}, true);
-  Ask(SendAttempt{e.attempt, x.source, x.give_up_at - now_});
+  Emit(SendAttempt{e.attempt, x.source, x.give_up_at - now_});
 }
 
 void Reducer::On(AttemptSent&& e) {
@@ -238,14 +238,14 @@
   found->second.sent = true;
   ++counters_.attempts_sent;
   found->second.sent_at = now_;
-  Ask(ClearTimer{{TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(e.attempt)}});
+  Emit(ClearTimer{{TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(e.attempt)}});
 }
 
 void Reducer::On(AttemptProgress&& e) {
   const auto found = attempts_.find(e.attempt);
   if (found == attempts_.end())
     return;
-  TellModuleOf(
+  PostToDispatcherOf(
       requests_.at(found->second.request),
       dispatch::Progress{ModuleId(found->second.request), found->second.attempt_number, e.started, e.share});
 }
@@ -266,11 +266,11 @@
   if (e.key.wait == TimerKey::Wait::kEndpointListExpiry) {
     expiry_timer_set_ = now_ < endpoint_list_valid_until_;
     if (expiry_timer_set_)
-      Ask(SetTimer{e.key, endpoint_list_valid_until_ - now_});
+      Emit(SetTimer{e.key, endpoint_list_valid_until_ - now_});
     return;
   }
   if (e.key.wait == TimerKey::Wait::kModule)
-    return TellModule(e.key.module, dispatch::TimerFired{e.key.id});
+    return PostToDispatcher(e.key.module, dispatch::TimerFired{e.key.id});
   const AttemptId number{e.key.id};
   const auto found = attempts_.find(number);
   if (found == attempts_.end())
@@ -323,13 +323,13 @@
   if (e.source == WorkerEndpoint::Source::kSession || e.form == Form::kDeltaFromPreviousSource) {
     // As a list of old: any other would tell the module that it is subscribed, and it would never ask
     // discovery.
-    TellModules(SnapshotFor(WorkerList::Form::kCached));
+    PostToDispatchers(SnapshotFor(WorkerList::Form::kCached));
   } else if (!whole) {
-    TellModules(std::move(changes));
+    PostToDispatchers(std::move(changes));
   } else {
     const bool old = e.form == Form::kCached;
     watched_ = !old;
-    TellModules(SnapshotFor(old ? WorkerList::Form::kCached : WorkerList::Form::kFull));
+    PostToDispatchers(SnapshotFor(old ? WorkerList::Form::kCached : WorkerList::Form::kFull));
   }
   // What is decided but not yet handed over must not reach an instance that has meanwhile been told to drain.
   WithdrawLate();
@@ -347,7 +347,7 @@
 void Reducer::On(EndpointListWatchFailed&&) {
   ++counters_.endpoint_list_failures;
   watched_ = false;
-  TellModules(WorkerList{WorkerList::Form::kFailed, {}});
+  PostToDispatchers(WorkerList{WorkerList::Form::kFailed, {}});
 }
 
 void Reducer::On(EndpointListLease&& e) {
@@ -358,19 +358,19 @@
   if (e.left <= 0)
     return ExpireEndpointList();
   if (std::exchange(endpoint_list_expired_, false)) {
-    Ask(LogLine{"worker list: known again, jobs are sent"});
-    TellModules(SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
+    Emit(LogLine{"worker list: known again, jobs are sent"});
+    PostToDispatchers(SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
   }
   if (e.left < EndpointListLease::kForEver && !std::exchange(expiry_timer_set_, true))
-    Ask(SetTimer{{TimerKey::Wait::kEndpointListExpiry}, e.left});
+    Emit(SetTimer{{TimerKey::Wait::kEndpointListExpiry}, e.left});
 }
 
 void Reducer::ExpireEndpointList() {
   if (std::exchange(endpoint_list_expired_, true))
     return;
-  Ask(LogLine{"worker list: too old to go by, no job is sent until discovery answers"});
+  Emit(LogLine{"worker list: too old to go by, no job is sent until discovery answers"});
   // A delta would tell the module that it is subscribed.
-  TellModules(SnapshotFor(WorkerList::Form::kCached));
+  PostToDispatchers(SnapshotFor(WorkerList::Form::kCached));
   std::vector<AttemptId> late;
   for (const auto& [number, x] : attempts_) {
     if (x.source == WorkerEndpoint::Source::kDiscovery)
@@ -380,7 +380,7 @@
 }
 
 void Reducer::On(ProbeCompleted&& e) {
-  TellModules(dispatch::ProbeDone{e.worker, e.outcome, e.elapsed, e.report});
+  PostToDispatchers(dispatch::ProbeDone{e.worker, e.outcome, e.elapsed, e.report});
 }
 
 void Reducer::On(SettingsRefused&&) { ++counters_.reconfigurations_refused; }
@@ -391,9 +391,9 @@
   if (!changed || known == endpoints_.end())
     return;
   if (watched_)
-    TellModules(WorkerList{WorkerList::Form::kDelta, {ModuleEntry(known->second)}});
+    PostToDispatchers(WorkerList{WorkerList::Form::kDelta, {ModuleEntry(known->second)}});
   else
-    TellModules(SnapshotFor(WorkerList::Form::kCached));  // a delta would tell it that it is subscribed
+    PostToDispatchers(SnapshotFor(WorkerList::Form::kCached));  // a delta would tell it that it is subscribed
   WithdrawLate();
 }
 
@@ -404,7 +404,7 @@
   const std::uint64_t now = modules_.rbegin()->first;
   // Known workers go on being used; the watch goes on as well where there is one.
   if (now != before)
-    TellModule(now, SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
+    PostToDispatcher(now, SnapshotFor(watched_ ? WorkerList::Form::kFull : WorkerList::Form::kCached));
 }
 
 // ---- The module's actions ----
@@ -424,7 +424,8 @@
     Finish(request, Failure{Failure::Why::kRepeat});
   if (!listed || r.answered || now_ >= r.deadline) {
     // The module's own list cannot differ from ours; were it to, nothing may be sent on its word.
-    TellModuleOf(r, dispatch::AttemptEnded{a.request, attempt_number, Outcome::kNotSent, r.answered, 0, {}});
+    PostToDispatcherOf(
+        r, dispatch::AttemptEnded{a.request, attempt_number, Outcome::kNotSent, r.answered, 0, {}});
     return ForgetIfDone(request);
   }
   ++r.open;
@@ -435,12 +436,12 @@
   attempts_[number] =
       Attempt{request, attempt_number, a.worker, to.source, to.started, now_, start_by, until, false, 0};
   const bool fetches = to.source == WorkerEndpoint::Source::kSession;
-  Ask(SetTimer{
+  Emit(SetTimer{
       {TimerKey::Wait::kSendDeadline, static_cast<std::uint64_t>(number)},
       std::clamp<Micros>(start_by - now_, 1, fetches ? settings_.fetch_patience : settings_.dial_timeout)});
-  Ask(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(number)},
-               std::max<Micros>(1, until - now_)});
-  Ask(StartAttempt{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
+  Emit(SetTimer{{TimerKey::Wait::kGiveUp, static_cast<std::uint64_t>(number)},
+                std::max<Micros>(1, until - now_)});
+  Emit(StartAttempt{number, a.worker, to.address, to.source, r.job, until - now_, r.client});
 }
 
 void Reducer::Do(const dispatch::Cancel& a) {
@@ -477,23 +478,23 @@
 }
 
 void Reducer::Do(const dispatch::SetTimer& a) {
-  Ask(SetTimer{{TimerKey::Wait::kModule, a.token, acting_}, a.delay});
+  Emit(SetTimer{{TimerKey::Wait::kModule, a.token, acting_}, a.delay});
 }
 
 void Reducer::Do(const dispatch::Probe& a) {
   const auto known = endpoints_.find(a.worker);
   if (known != endpoints_.end() && known->second.source == WorkerEndpoint::Source::kDiscovery)
-    Ask(ProbeWorker{a.worker, known->second.address});
+    Emit(ProbeWorker{a.worker, known->second.address});
 }
 
 void Reducer::Do(const dispatch::SubscribeList&) {
   if (settings_.has_discovery)
-    return Ask(WatchEndpointList{});
+    return Emit(WatchEndpointList{});
   // Nobody to ask: the sessions' own word is the whole list, and it comes unasked.
-  TellModule(acting_, SnapshotFor(WorkerList::Form::kFull));
+  PostToDispatcher(acting_, SnapshotFor(WorkerList::Form::kFull));
 }
 
-void Reducer::Do(const dispatch::Log& a) { Ask(LogLine{a.text}); }
+void Reducer::Do(const dispatch::Log& a) { Emit(LogLine{a.text}); }
 
 // ---- Helpers ----
 
@@ -535,11 +536,11 @@
   ++counters_.attempts[static_cast<std::size_t>(outcome)];
   const std::uint64_t id = static_cast<std::uint64_t>(number);
   if (!x.sent)
-    Ask(ClearTimer{{TimerKey::Wait::kSendDeadline, id}});
-  Ask(ClearTimer{{TimerKey::Wait::kGiveUp, id}});
+    Emit(ClearTimer{{TimerKey::Wait::kSendDeadline, id}});
+  Emit(ClearTimer{{TimerKey::Wait::kGiveUp, id}});
 #ifndef ALDERSILL_PLANT_NEVER_STOPS  // planted where a search must find it
   if (stop)
-    Ask(StopAttempt{number, x.source});
+    Emit(StopAttempt{number, x.source});
 #endif
   Request& r = requests_.at(x.request);
   // A connection to an instance can be closed; a session that has fetched goes on with it.
@@ -556,8 +557,8 @@
   }
   if (r.module == kNoDispatcher && !r.answered)
     FinishReceived(x.request, outcome);
-  TellModuleOf(r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt_number, outcome, r.answered,
-                                         now_ - x.started_at, report});
+  PostToDispatcherOf(r, dispatch::AttemptEnded{ModuleId(x.request), x.attempt_number, outcome, r.answered,
+                                               now_ - x.started_at, report});
   ForgetIfDone(x.request);
 }
 
@@ -579,7 +580,7 @@
      : std::holds_alternative<Rejection>(answer) ? count.rejected
                                                  : count.failed);
   by_client_.erase(r.client);
-  Ask(Answer{r.client, std::move(answer)});
+  Emit(Answer{r.client, std::move(answer)});
 }
 
 void Reducer::ForgetIfDone(std::uint64_t number) {
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -106,16 +106,16 @@
     std::size_t open = 0;  // requests it decides on
   };
   void ApplySettings(CoreSettings settings);
-  void TellModule(std::uint64_t module, dispatch::Event event) {
-    for_module_.emplace_back(module, std::move(event));
+  void PostToDispatcher(std::uint64_t module, dispatch::Event event) {
+    dispatcher_events_.emplace_back(module, std::move(event));
   }
-  void TellModules(const dispatch::Event& event) {
+  void PostToDispatchers(const dispatch::Event& event) {
     for (const auto& [number, module] : modules_)
-      TellModule(number, event);
+      PostToDispatcher(number, event);
   }
-  void TellModuleOf(const Request& r, dispatch::Event event) {
+  void PostToDispatcherOf(const Request& r, dispatch::Event event) {
     if (r.module != kNoDispatcher)
-      TellModule(r.module, std::move(event));
+      PostToDispatcher(r.module, std::move(event));
   }
   // The end of an adopted job whose attempt was not served: no module knows of it.
   void FinishReceived(std::uint64_t number, Outcome outcome);
@@ -136,7 +136,7 @@
   // Of a request that is answered or whose client has left: only what was handed over goes on.
   void ForgetIfDone(std::uint64_t number);
   dispatch::WorkerList SnapshotFor(dispatch::WorkerList::Form form) const;
-  void Ask(Effect effect) { effects_->push_back(std::move(effect)); }
+  void Emit(Effect effect) { effects_->push_back(std::move(effect)); }
 
   CoreSettings settings_;
   std::map<std::uint64_t, Module> modules_;  // the last is the one for new requests
@@ -148,7 +148,7 @@
   bool expiry_timer_set_ = false;       // one is set for it
   Micros now_ = 0;
   std::vector<Effect>* effects_ = nullptr;
-  std::deque<std::pair<std::uint64_t, dispatch::Event>> for_module_;
+  std::deque<std::pair<std::uint64_t, dispatch::Event>> dispatcher_events_;
   std::vector<dispatch::Action> actions_;
   std::uint64_t next_request_ = 1;
   std::uint64_t next_attempt_ = 1;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -245,7 +245,7 @@
 class EventSink {
  public:
   virtual ~EventSink() = default;
-  virtual void Tell(Event event) = 0;
+  virtual void Post(Event event) = 0;
 };
 
 }  // namespace aldersill
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -37,7 +37,7 @@
  public:
   explicit ClusterComponent(const ComponentContext& context)
       : context_(context),
-        timer_(context.base, [this] { Tell(cluster::Time{}); }),
+        timer_(context.base, [this] { Post(cluster::Time{}); }),
         names_timer_(context.base, [this] { LookAtNames(); }) {}
 
   void Start(const Config& c) override {
@@ -52,7 +52,7 @@
     transport_ = std::make_unique<membership::Transport>(
         context_.base, membership_.listen, membership::ReadKeys(membership_.key_file), context_.now,
         [this](std::string address, membership::Packet packet) {
-          Tell(cluster::Came{std::move(address), std::move(packet)});
+          Post(cluster::Came{std::move(address), std::move(packet)});
         });
     const Endpoint own{membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
     address_ = membership_.advertise.empty() ? ToText(own) : membership_.advertise;
@@ -70,7 +70,7 @@
         {{"name", "membership"},
          {"address", ToText({membership_.listen.host, static_cast<std::uint16_t>(transport_->port())})},
          {"advertised", address_}});
-    Tell(cluster::Start{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
+    Post(cluster::Start{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
     LookAtNames();
   }
 
@@ -92,7 +92,7 @@
 
   void BeginDrain() override {
     if (core_ != nullptr)
-      Tell(cluster::Leave{});
+      Post(cluster::Leave{});
   }
 
  private:
@@ -114,7 +114,7 @@
   }
 
   // An effect may bring an event at once: it waits until the effects before it are carried out.
-  void Tell(cluster::Event event) {
+  void Post(cluster::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(handling_, true))
       return;
@@ -135,11 +135,11 @@
   void Do(cluster::Send&& e) { transport_->Send(e.address, e.packet); }
   void Do(cluster::Probe&& e) {
     context_.registry->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
-      Tell(cluster::Probed{number, answered.outcome, answered.elapsed, answered.report});
+      Post(cluster::Probed{number, answered.outcome, answered.elapsed, answered.report});
     });
   }
   void Do(cluster::Result&& e) {
-    context_.sink->Tell(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
+    context_.sink->Post(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
   }
   void Do(membership::MemberNews&& e) {
     using What = membership::MemberNews::What;
@@ -165,7 +165,7 @@
           worker.state == WorkerEndpoint::State::kReady)
         workers.all.emplace_back(name, worker.address);
     }
-    Tell(std::move(workers));
+    Post(std::move(workers));
   }
 
   const ComponentContext context_;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -71,7 +71,7 @@
     evsignal_add(signals_.back().get(), nullptr);
   }
   quiet_timer_ = std::make_unique<Timer>(base_.get(), [this] { EndIfQuiet(); });
-  Tell(EndpointListUpdate{EndpointListUpdate::Form::kCached, WorkerEndpoint::Source::kDiscovery,
+  Post(EndpointListUpdate{EndpointListUpdate::Form::kCached, WorkerEndpoint::Source::kDiscovery,
                           config_.known});
   for (const auto& component : components_)
     component->OnAllStarted();
@@ -84,7 +84,7 @@
 
 void Daemon::Run() { event_base_dispatch(base_.get()); }
 
-void Daemon::Tell(Event event) {
+void Daemon::Post(Event event) {
   events_.push_back(std::move(event));
   // An effect may tell of something at once: it waits until the effects before it are all carried out.
   if (std::exchange(reducing_, true))
@@ -108,8 +108,8 @@
   // then it lies unread, and the attempt would begin for nobody.
   const auto* response_sink = registry_.response_sinks[static_cast<std::size_t>(e.client.frontend)];
   if (response_sink != nullptr && response_sink->HasLeft(e.client.number)) {
-    Tell(ClientLeft{e.client});
-    return Tell(AttemptEnded{e.attempt, Outcome::kNotSent, "", {}});
+    Post(ClientLeft{e.client});
+    return Post(AttemptEnded{e.attempt, Outcome::kNotSent, "", {}});
   }
   if (auto* runner = registry_.attempt_transports[static_cast<std::size_t>(e.source)])
     runner->Start(e);
@@ -145,7 +145,7 @@
   at->second = std::make_unique<Timer>(base_.get(), [this, at] {
     const TimerKey key = at->first;
     timers_.erase(at);
-    Tell(TimerDue{key});
+    Post(TimerDue{key});
   });
   at->second->Set(e.delay);
 }
@@ -172,7 +172,7 @@
         {{"code", error != nullptr ? error->code() : "failed"},
          {"field", error != nullptr ? error->path() : ""},
          {"why", e.what()}});
-    return Tell(SettingsRefused{});
+    return Post(SettingsRefused{});
   }
   CoreSettings core = ForCore(next);
   core.module_changed = next.module_text != config_.module_text;
@@ -181,7 +181,7 @@
   TellUnknown(config_);
   for (const auto& component : components_)
     component->ApplyReload(config_);
-  Tell(SettingsChanged{std::move(core)});
+  Post(SettingsChanged{std::move(core)});
   for (const auto& component : components_)
     component->OnReloadApplied(config_);
   Log(LogLevel::kInfo, "configuration_adopted");
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -22,7 +22,7 @@
   ~Daemon() override;
 
   void Run();
-  void Tell(Event event) override;
+  void Post(Event event) override;
 
  private:
   void Do(const StartAttempt& e);
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -60,7 +60,7 @@
   clients_->CompleteTransfer(in_flight.client.number);
   if (in_flight.running)
     workers_->CompleteTransfer(*in_flight.running);
-  context_.sink->Tell(JobTransferred{in_flight.client});
+  context_.sink->Post(JobTransferred{in_flight.client});
   return true;
 }
 
@@ -77,12 +77,12 @@
       clients_->ReceiveTransfer({descriptors[0], transferred->keep_alive, transferred->head_only});
   const ClientRef client{ClientRef::Frontend::kHttp, number};
   if (!transferred->running)
-    return context_.sink->Tell(RequestTaken{client, std::move(transferred->job)});
+    return context_.sink->Post(RequestTaken{client, std::move(transferred->job)});
   const std::uint64_t resume = next_++;
   JobReceived adopted{client, std::move(transferred->job), transferred->running->worker,
                       transferred->may_have_run, resume};
   arrived_.emplace(resume, Arrived{descriptors[1], std::move(*transferred->running)});
-  context_.sink->Tell(std::move(adopted));
+  context_.sink->Post(std::move(adopted));
   // One that the core did not take up, as of a class that is not known here, is given up.
   if (const auto left = arrived_.extract(resume); !left.empty())
     close(left.mapped().worker_fd);
--- a/src/daemon/platform_component.cpp
+++ b/src/daemon/platform_component.cpp
@@ -127,7 +127,7 @@
         {{"address", c.discovery ? ToText(*c.discovery) : std::string("none")}});
     if (!c.discovery) {
       discovery_.reset();
-      return context_.sink->Tell(EndpointListLease{EndpointListLease::kForEver});
+      return context_.sink->Post(EndpointListLease{EndpointListLease::kForEver});
     }
     // Its versions are its own: the whole list first, and until then the workers that are known serve on.
     DiscoveryClock clock = Clock(c);
--- a/src/daemon/upgrade_component.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -73,17 +73,17 @@
     const upgrade::BanList before = context_.reducer->banned();
     for (const std::string& worker : bans) {
       if (!before.contains(worker))
-        context_.sink->Tell(WorkerBanned{worker, true});
+        context_.sink->Post(WorkerBanned{worker, true});
     }
     for (const std::string& worker : before) {
       if (!bans.contains(worker))
-        context_.sink->Tell(WorkerBanned{worker, false});
+        context_.sink->Post(WorkerBanned{worker, false});
     }
   }
 
   void Keep(const std::string& worker, bool banned) {
     if (!folder_)
-      return context_.sink->Tell(WorkerBanned{worker, banned});
+      return context_.sink->Post(WorkerBanned{worker, banned});
     try {
       Apply(folder_->ChangeBans([&](upgrade::BanList* bans) {
         if (banned)
@@ -93,7 +93,7 @@
       }));
     } catch (const std::runtime_error& e) {
       Log(LogLevel::kWarning, "ban_unshared", {{"worker", worker}, {"why", e.what()}});
-      context_.sink->Tell(WorkerBanned{worker, banned});
+      context_.sink->Post(WorkerBanned{worker, banned});
     }
   }
 
--- a/src/faktory/frontend.cpp
+++ b/src/faktory/frontend.cpp
@@ -331,7 +331,7 @@
   clients_[client] = session;
   session->pushes_.push_back(client);
   ++pushed_;
-  sink_->Tell(RequestTaken{{ClientRef::Frontend::kFaktory, client}, std::move(job)});
+  sink_->Post(RequestTaken{{ClientRef::Frontend::kFaktory, client}, std::move(job)});
   return client;
 }
 
@@ -372,7 +372,7 @@
 void Frontend::Heard(const std::string& wid) { workers_.at(wid).silence->Set(settings_.silence); }
 
 void Frontend::TellState(const Worker& worker) {
-  sink_->Tell(EndpointListUpdate{
+  sink_->Post(EndpointListUpdate{
       EndpointListUpdate::Form::kDelta, WorkerEndpoint::Source::kSession, {worker.endpoint}});
 }
 
@@ -380,7 +380,7 @@
   LoadReport report;
   report.free_slots =
       static_cast<double>(worker.fetching.size()) - static_cast<double>(worker.waiting.size());
-  sink_->Tell(ProbeCompleted{worker.endpoint.name, Outcome::kServed, 0, report});
+  sink_->Post(ProbeCompleted{worker.endpoint.name, Outcome::kServed, 0, report});
 }
 
 void Frontend::Park(Session* session) {
@@ -405,7 +405,7 @@
 void Frontend::Start(const StartAttempt& start) {
   const auto found = workers_.find(start.worker);
   if (found == workers_.end()) {
-    sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
+    sink_->Post(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
     return;
   }
   Worker& w = found->second;
@@ -422,7 +422,7 @@
 void Frontend::Deliver(Worker* worker, Session* session, const StartAttempt& start) {
   worker->held.emplace(start.job->id, Worker::Held{start.attempt, session});
   session->Answer(BulkString(EncodeFetched(*start.job, start.time_left)));
-  sink_->Tell(AttemptSent{start.attempt});
+  sink_->Post(AttemptSent{start.attempt});
 }
 
 void Frontend::Stop(AttemptId attempt) {
@@ -455,7 +455,7 @@
   if (const auto late = w.given_up.find(ack.jid); late != w.given_up.end()) {
     const AttemptId attempt = late->second;
     w.given_up.erase(late);
-    sink_->Tell(AbandonedAttemptEnded{attempt});
+    sink_->Post(AbandonedAttemptEnded{attempt});
     return SimpleString("OK");  // nobody waits for it any more
   }
   const auto held = w.held.find(ack.jid);
@@ -464,7 +464,7 @@
   const AttemptId attempt = held->second.attempt;
   w.held.erase(held);
   attempts_.erase(attempt);
-  sink_->Tell(AttemptEnded{attempt, outcome, ack.result, {}});
+  sink_->Post(AttemptEnded{attempt, outcome, ack.result, {}});
   return SimpleString("OK");
 }
 
@@ -503,13 +503,13 @@
   for (const AttemptId attempt : lost) {
     std::erase_if(w.held, [attempt](const auto& h) { return h.second.attempt == attempt; });
     attempts_.erase(attempt);
-    sink_->Tell(AttemptEnded{attempt, Outcome::kLost, "", {}});
+    sink_->Post(AttemptEnded{attempt, Outcome::kLost, "", {}});
   }
 }
 
 void Frontend::Release(const Worker& worker) {
   for (const auto& [jid, attempt] : worker.given_up)
-    sink_->Tell(AbandonedAttemptEnded{attempt});
+    sink_->Post(AbandonedAttemptEnded{attempt});
 }
 
 void Frontend::Lose(const std::string& name) {
@@ -534,11 +534,11 @@
   Release(gone);
   for (const AttemptId attempt : unsent) {
     attempts_.erase(attempt);
-    sink_->Tell(AttemptEnded{attempt, Outcome::kConnectFailed, "", {}});
+    sink_->Post(AttemptEnded{attempt, Outcome::kConnectFailed, "", {}});
   }
   for (const AttemptId attempt : lost) {
     attempts_.erase(attempt);
-    sink_->Tell(AttemptEnded{attempt, Outcome::kLost, "", {}});
+    sink_->Post(AttemptEnded{attempt, Outcome::kLost, "", {}});
   }
 }
 
@@ -550,7 +550,7 @@
   sessions_.erase(found);
   for (const std::uint64_t client : session->pushes_) {
     clients_.erase(client);
-    sink_->Tell(ClientLeft{{ClientRef::Frontend::kFaktory, client}});
+    sink_->Post(ClientLeft{{ClientRef::Frontend::kFaktory, client}});
   }
   if (!workers_.contains(session->worker()))
     return;  // a producer's, or its worker is gone already
--- a/src/http/discovery.cpp
+++ b/src/http/discovery.cpp
@@ -73,7 +73,7 @@
     next_probe_->Set(std::max<Micros>(0, clock_.next_probe() - now));
   }
   if (!left_)
-    sink_->Tell(EndpointListLease{clock_.valid_until() - now});
+    sink_->Post(EndpointListLease{clock_.valid_until() - now});
 }
 
 void Discovery::Probed(bool refused) {
@@ -188,7 +188,7 @@
   using Form = EndpointListUpdate::Form;
   const Form form = message.full ? (left_ ? Form::kCached : Form::kSnapshot)
                                  : (left_ ? Form::kDeltaFromPreviousSource : Form::kDelta);
-  sink_->Tell(EndpointListUpdate{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
+  sink_->Post(EndpointListUpdate{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
   clock_.Answered(SteadyNow(), line->called_at);
   refused_ = false;
   Schedule();
@@ -210,7 +210,7 @@
     return;
   continuing_ = false;
   if (!left_)
-    return sink_->Tell(EndpointListWatchFailed{});
+    return sink_->Post(EndpointListWatchFailed{});
   after_->clock_.LeftFailed();
   after_->Schedule();
 }
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -319,7 +319,7 @@
     state_ = State::kHeld;
     client_ = frontend_->next_++;
     frontend_->held_.emplace(client_, this);
-    frontend_->sink_->Tell(RequestTaken{{ClientRef::Frontend::kHttp, client_}, std::move(job)});
+    frontend_->sink_->Post(RequestTaken{{ClientRef::Frontend::kHttp, client_}, std::move(job)});
   }
 
   // An answer after which nothing more can be read off this connection.
@@ -510,11 +510,11 @@
   connections_.erase(found);
   const std::uint64_t client = owned->client();
   if (held_.erase(client) > 0)
-    sink_->Tell(ClientLeft{{ClientRef::Frontend::kHttp, client}});
+    sink_->Post(ClientLeft{{ClientRef::Frontend::kHttp, client}});
 }
 
 void HttpFrontend::CountRejection(int status, const std::string& why, const std::string& id) {
-  sink_->Tell(RequestRejectedByFrontend{ClientRef::Frontend::kHttp, status, why, id});
+  sink_->Post(RequestRejectedByFrontend{ClientRef::Frontend::kHttp, status, why, id});
   rejections_.Add(status, why, id);
   LogRejections(false);
 }
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -132,7 +132,7 @@
     if (info->n_deleted == 0 || c->sent_ || !c->attempt_ || evbuffer_get_length(output) > 0)
       return;
     c->sent_ = true;
-    c->link_->sink_->Tell(AttemptSent{*c->attempt_});
+    c->link_->sink_->Post(AttemptSent{*c->attempt_});
   }
 
   static void OnRead(bufferevent* stream, void* arg) {
@@ -155,7 +155,7 @@
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* c = static_cast<Connection*>(arg);
     if ((what & BEV_EVENT_CONNECTED) != 0 && c->attempt_)
-      return c->link_->sink_->Tell(AttemptConnected{*c->attempt_});
+      return c->link_->sink_->Post(AttemptConnected{*c->attempt_});
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0)
       return;
     if ((what & BEV_EVENT_EOF) != 0) {
@@ -178,7 +178,7 @@
   void TellProgress() {
     WorkerClient* link = link_;
     for (const AttemptProgress& note : std::exchange(notes_, {}))
-      link->sink_->Tell(note);
+      link->sink_->Post(note);
   }
 
   static http_parser_settings Callbacks() {
@@ -302,7 +302,7 @@
     if (!attempt)
       return;
     ended.attempt = *attempt;
-    link->sink_->Tell(std::move(ended));
+    link->sink_->Post(std::move(ended));
   }
 
   static bool HasFigures(const LoadReport& r) {
@@ -323,7 +323,7 @@
     if (!attempt)
       return;
     ended.attempt = *attempt;
-    link->sink_->Tell(std::move(ended));
+    link->sink_->Post(std::move(ended));
   }
 
   WorkerClient* link_;
@@ -413,7 +413,7 @@
 void WorkerClient::Start(const StartAttempt& start) {
   Connection* connection = Open(start.address);
   if (connection == nullptr) {
-    sink_->Tell(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
+    sink_->Post(AttemptEnded{start.attempt, Outcome::kConnectFailed, "", {}});
     return;
   }
   busy_[start.attempt] = connection;
@@ -437,7 +437,7 @@
 }
 
 void WorkerClient::Probe(const ProbeWorker& probe) {
-  Probe(probe, [this](ProbeCompleted answered) { sink_->Tell(std::move(answered)); });
+  Probe(probe, [this](ProbeCompleted answered) { sink_->Post(std::move(answered)); });
 }
 
 void WorkerClient::Probe(const ProbeWorker& probe, ProbeDone done) {
