--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -37,34 +37,36 @@
     leases_.emplace(settings_.exclusive[i], duties::Lease(std::move(lease), seed_ + 2 + i));
   }
   ToMembership(membership::Started{e.epoch});
-  ToProbing(duties::MemberCame{settings_.membership.name, settings_.membership.weight});
+  ToProbing(duties::MemberJoined{settings_.membership.name, settings_.membership.weight});
   for (auto& [duty, lease] : leases_)
     ToLease(&lease, duties::LeaseStarted{});
 }
 
-void Cluster::On(Came&& e) {
-  ToMembership(membership::PacketCame{std::move(e.address), std::move(e.packet)});
+void Cluster::On(PacketReceived&& e) {
+  ToMembership(membership::PacketReceived{std::move(e.address), std::move(e.packet)});
 }
 
-void Cluster::On(Time&&) {
+void Cluster::On(TimerExpired&&) {
   // Leases first: one that ended while this instance stood still must not outlive another's word.
   for (auto& [duty, lease] : leases_)
     ToLease(&lease, duties::LeaseTime{});
   if (membership_.next_due() <= now_)
-    ToMembership(membership::TimeCame{});
+    ToMembership(membership::TimerExpired{});
   if (probing_ && probing_->next_due() <= now_)
     ToProbing(duties::ProbeTime{});
 }
 
-void Cluster::On(Workers&& e) { ToProbing(duties::WorkersAre{std::move(e.all)}); }
+void Cluster::On(Workers&& e) { ToProbing(duties::WorkersChanged{std::move(e.all)}); }
 
-void Cluster::On(Probed&& e) { ToProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report}); }
+void Cluster::On(ProbeCompleted&& e) {
+  ToProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report});
+}
 
 void Cluster::On(Leave&&) {
   for (auto& [duty, lease] : leases_)
     ToLease(&lease, duties::GiveUp{});
-  ToMembership(membership::LeaveAsked{});
-  ToProbing(duties::MemberWent{settings_.membership.name});
+  ToMembership(membership::LeaveRequested{});
+  ToProbing(duties::MemberLeft{settings_.membership.name});
 }
 
 // ---- What the parts ask for ----
@@ -93,12 +95,12 @@
   const std::string& duty = lease->settings().duty;
   for (duties::LeaseEffect& effect : asked) {
     if (auto* send = std::get_if<duties::SendTo>(&effect)) {
-      ToMembership(membership::DirectAsked{
+      ToMembership(membership::DirectMessageRequested{
           send->to, duties::EncodeMessage(duties::DutyMessage{duty, std::move(send->message)})});
     } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
-      effects_->push_back(LeaseNews{duty, true, taken->term});
+      effects_->push_back(LeaseChange{duty, true, taken->term});
     } else {
-      effects_->push_back(LeaseNews{duty, false, std::get<duties::Lost>(effect).term});
+      effects_->push_back(LeaseChange{duty, false, std::get<duties::Lost>(effect).term});
     }
   }
 }
@@ -107,49 +109,49 @@
   effects_->push_back(Send{std::move(e.address), std::move(e.packet)});
 }
 
-void Cluster::Do(membership::MemberNews&& e) {
-  using What = membership::MemberNews::What;
+void Cluster::Do(membership::MembershipChange&& e) {
+  using What = membership::MembershipChange::What;
   effects_->push_back(e);
   switch (e.what) {
     case What::kDead:
     case What::kLeft:
-      return ToProbing(duties::MemberWent{e.member.name});
+      return ToProbing(duties::MemberLeft{e.member.name});
     case What::kSuspect:  // it may yet speak up, and its duties are its own until then
       return;
     default:
-      return ToProbing(duties::MemberCame{e.member.name, e.member.weight});
+      return ToProbing(duties::MemberJoined{e.member.name, e.member.weight});
   }
 }
 
-void Cluster::Do(membership::RumorHeard&& e) {
+void Cluster::Do(membership::GossipReceived&& e) {
   if (!probing_)
     return;
-  auto result = duties::DecodeResult(e.rumor.key, e.rumor.body);
+  auto result = duties::DecodeResult(e.message.key, e.message.body);
   if (!result) {
     ++malformed_;
     return;
   }
-  ToProbing(duties::ResultHeard{std::move(*result)});
+  ToProbing(duties::ProbeResultReceived{std::move(*result)});
 }
 
-void Cluster::Do(membership::DirectHeard&& e) {
+void Cluster::Do(membership::DirectMessageReceived&& e) {
   auto message = duties::DecodeMessage(e.body);
   const auto lease = message ? leases_.find(message->duty) : leases_.end();
   if (lease == leases_.end()) {
     ++malformed_;
     return;
   }
-  ToLease(&lease->second, duties::LeaseHeard{e.from, std::move(message->message)});
+  ToLease(&lease->second, duties::LeaseMessageReceived{e.from, std::move(message->message)});
 }
 
 void Cluster::Do(duties::StartProbe&& e) {
   effects_->push_back(Probe{e.number, std::move(e.worker), std::move(e.address)});
 }
 
-void Cluster::Do(duties::TellAll&& e) {
-  ToMembership(membership::SpreadAsked{{e.result.worker, duties::EncodeResult(e.result)}});
+void Cluster::Do(duties::BroadcastResult&& e) {
+  ToMembership(membership::BroadcastRequested{{e.result.worker, duties::EncodeResult(e.result)}});
 }
 
-void Cluster::Do(duties::TellModule&& e) { effects_->push_back(Result{std::move(e.result)}); }
+void Cluster::Do(duties::DeliverResult&& e) { effects_->push_back(Result{std::move(e.result)}); }
 
 }  // namespace aldersill::cluster
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -32,22 +32,22 @@
 struct Start {
   std::uint64_t epoch = 0;  // Unix milliseconds at which this life began
 };
-struct Came {
+struct PacketReceived {
   std::string address;
   membership::Packet packet;
 };
-struct Time {};  // next_due() is reached
+struct TimerExpired {};  // next_due() is reached
 struct Workers {
   std::vector<std::pair<std::string, std::string>> all;  // (name, address)
 };
-struct Probed {
+struct ProbeCompleted {
   std::uint64_t number = 0;
   Outcome outcome = Outcome::kServed;
   Micros elapsed = 0;
   LoadReport report;
 };
 struct Leave {};  // for good: leases are released, shared duties pass on at once
-using Event = std::variant<Start, Came, Time, Workers, Probed, Leave>;
+using Event = std::variant<Start, PacketReceived, TimerExpired, Workers, ProbeCompleted, Leave>;
 
 // ---- Effects ----
 
@@ -63,12 +63,12 @@
 struct Result {  // for this instance's decision module
   duties::ProbeResult result;
 };
-struct LeaseNews {
+struct LeaseChange {
   std::string duty;
   bool taken = false;  // else lost
   std::uint64_t term = 0;
 };
-using Effect = std::variant<Send, Probe, Result, membership::MemberNews, LeaseNews>;
+using Effect = std::variant<Send, Probe, Result, membership::MembershipChange, LeaseChange>;
 
 class Cluster {
  public:
@@ -85,19 +85,19 @@
 
  private:
   void On(Start&& e);
-  void On(Came&& e);
-  void On(Time&& e);
+  void On(PacketReceived&& e);
+  void On(TimerExpired&& e);
   void On(Workers&& e);
-  void On(Probed&& e);
+  void On(ProbeCompleted&& e);
   void On(Leave&& e);
 
   void Do(membership::SendPacket&& e);
-  void Do(membership::MemberNews&& e);
-  void Do(membership::RumorHeard&& e);
-  void Do(membership::DirectHeard&& e);
+  void Do(membership::MembershipChange&& e);
+  void Do(membership::GossipReceived&& e);
+  void Do(membership::DirectMessageReceived&& e);
   void Do(duties::StartProbe&& e);
-  void Do(duties::TellAll&& e);
-  void Do(duties::TellModule&& e);
+  void Do(duties::BroadcastResult&& e);
+  void Do(duties::DeliverResult&& e);
 
   void ToMembership(membership::Event event);
   void ToProbing(duties::ProbeEvent event);
--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -13,7 +13,7 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 
-const char* Name(membership::MemberNews::What what) {
+const char* Name(membership::MembershipChange::What what) {
   constexpr const char* kNames[] = {"joined", "restarted", "suspect", "alive", "dead", "left"};
   return kNames[static_cast<std::size_t>(what)];
 }
--- a/src/cluster/objects.h
+++ b/src/cluster/objects.h
@@ -11,7 +11,7 @@
 namespace aldersill::cluster {
 
 const char* Name(membership::State state);
-const char* Name(membership::MemberNews::What what);
+const char* Name(membership::MembershipChange::What what);
 
 // `core`: null where membership is off, which both say.
 nlohmann::json MembersAsJson(const Cluster* core);
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -93,7 +93,7 @@
   v.Whole("gossip_fanout", c.gossip_fanout, 1, 16);
   v.Whole("gossip_burst", c.gossip_burst, 0, 256);
   v.Whole("retransmissions", c.retransmissions, 1, 32);
-  v.Whole("rumor_times", c.rumor_times, 1, 32);
+  v.Whole("rumor_times", c.gossip_transmissions, 1, 32);
   v.Millis("compare_interval_ms", c.compare_interval, 100, 3'600'000);
   v.Millis("dead_kept_ms", c.dead_kept, 1'000, 604'800'000);
   v.Whole("health_most", c.health_most, 0, 32);
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -37,7 +37,7 @@
  public:
   explicit ClusterComponent(const ComponentContext& context)
       : context_(context),
-        timer_(context.base, [this] { Post(cluster::Time{}); }),
+        timer_(context.base, [this] { Post(cluster::TimerExpired{}); }),
         names_timer_(context.base, [this] { LookAtNames(); }) {}
 
   void Start(const Config& c) override {
@@ -52,7 +52,7 @@
     transport_ = std::make_unique<membership::Transport>(
         context_.base, membership_.listen, membership::ReadKeys(membership_.key_file), context_.now,
         [this](std::string address, membership::Packet packet) {
-          Post(cluster::Came{std::move(address), std::move(packet)});
+          Post(cluster::PacketReceived{std::move(address), std::move(packet)});
         });
     const Endpoint own{membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
     address_ = membership_.advertise.empty() ? ToText(own) : membership_.advertise;
@@ -135,14 +135,14 @@
   void Do(cluster::Send&& e) { transport_->Send(e.address, e.packet); }
   void Do(cluster::Probe&& e) {
     context_.registry->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
-      Post(cluster::Probed{number, answered.outcome, answered.elapsed, answered.report});
+      Post(cluster::ProbeCompleted{number, answered.outcome, answered.elapsed, answered.report});
     });
   }
   void Do(cluster::Result&& e) {
     context_.sink->Post(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
   }
-  void Do(membership::MemberNews&& e) {
-    using What = membership::MemberNews::What;
+  void Do(membership::MembershipChange&& e) {
+    using What = membership::MembershipChange::What;
     Log(e.what == What::kDead || e.what == What::kSuspect ? LogLevel::kWarning : LogLevel::kInfo,
         std::string("member_") + cluster::Name(e.what),
         {{"member", e.member.name},
@@ -150,7 +150,7 @@
          {"epoch", e.member.incarnation.epoch},
          {"by", e.member.accuser}});
   }
-  void Do(cluster::LeaseNews&& e) {
+  void Do(cluster::LeaseChange&& e) {
     Log(LogLevel::kInfo, e.taken ? "duty_taken" : "duty_lost", {{"duty", e.duty}, {"term", e.term}});
   }
 
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -19,7 +19,7 @@
   CheckRound();
   std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
   while (!to_self_.empty()) {
-    LeaseHeard heard = std::move(to_self_.front());
+    LeaseMessageReceived heard = std::move(to_self_.front());
     to_self_.pop_front();
     On(std::move(heard));
   }
@@ -61,7 +61,7 @@
   next_try_ = std::max(silent_until_, now_) + Drawn(0, settings_.lease / 10);
 }
 
-void Lease::On(LeaseHeard&& e) {
+void Lease::On(LeaseMessageReceived&& e) {
   if (!IsVoter(settings_.name) || !IsVoter(e.from))
     return;
   std::visit([&](const auto& m) { On(e.from, m); }, e.message);
@@ -81,7 +81,7 @@
     return;
   effects_->push_back(Lost{*std::exchange(term_, std::nullopt)});
   ++counters_.lost;
-  TellVoters(Release{Me()});
+  SendToVoters(Release{Me()});
 }
 
 void Lease::CheckHeld() {
@@ -141,7 +141,7 @@
   phase_ = Phase::kPreparing;
   phase_ends_ = now_ + settings_.lease / 10;
   ++counters_.rounds;
-  TellVoters(Prepare{ballot_});
+  SendToVoters(Prepare{ballot_});
 }
 
 void Lease::On(const std::string& from, const Promise& m) {
@@ -157,7 +157,7 @@
     phase_ = Phase::kProposing;
     phase_ends_ = now_ + settings_.lease / 10;
     proposed_at_ = now_;  // before any voter can have begun to count
-    TellVoters(Propose{ballot_, Me(), settings_.lease});
+    SendToVoters(Propose{ballot_, Me(), settings_.lease});
   } else if (promises_.size() == settings_.voters.size() || (wait_hint_ > 0 && Majority(promises_))) {
     Retreat(wait_hint_ + Drawn(0, settings_.lease / 20));
   }
@@ -204,13 +204,13 @@
 
 void Lease::Tell(const std::string& to, LeaseMessage message) {
   if (to == settings_.name) {
-    to_self_.push_back(LeaseHeard{settings_.name, std::move(message)});
+    to_self_.push_back(LeaseMessageReceived{settings_.name, std::move(message)});
   } else {
     effects_->push_back(SendTo{to, std::move(message)});
   }
 }
 
-void Lease::TellVoters(const LeaseMessage& message) {
+void Lease::SendToVoters(const LeaseMessage& message) {
   for (const std::string& voter : settings_.voters)
     Tell(voter, message);
 }
--- a/src/duties/lease.h
+++ b/src/duties/lease.h
@@ -41,13 +41,13 @@
 // ---- Events ----
 
 struct LeaseStarted {};
-struct LeaseHeard {
+struct LeaseMessageReceived {
   std::string from;
   LeaseMessage message;
 };
 struct LeaseTime {};  // next_due() is reached
 struct GiveUp {};     // for good: what is held is released at once
-using LeaseEvent = std::variant<LeaseStarted, LeaseHeard, LeaseTime, GiveUp>;
+using LeaseEvent = std::variant<LeaseStarted, LeaseMessageReceived, LeaseTime, GiveUp>;
 
 // ---- Effects ----
 
@@ -86,7 +86,7 @@
   enum class Phase { kIdle, kPreparing, kProposing };
 
   void On(const LeaseStarted&);
-  void On(LeaseHeard&& e);
+  void On(LeaseMessageReceived&& e);
   void On(const LeaseTime&);
   void On(const GiveUp&);
   // As a voter.
@@ -101,7 +101,7 @@
   void Begin();
   void Retreat(Micros wait);
   void Tell(const std::string& to, LeaseMessage message);
-  void TellVoters(const LeaseMessage& message);
+  void SendToVoters(const LeaseMessage& message);
   void CheckHeld();
   void CheckRound();
   bool Majority(const std::set<std::string>& names) const {
@@ -115,7 +115,7 @@
   pcg32 random_;
   Micros now_ = 0;
   std::vector<LeaseEffect>* effects_ = nullptr;
-  std::deque<LeaseHeard> to_self_;
+  std::deque<LeaseMessageReceived> to_self_;
   bool gave_up_ = false;
   // Of the voter.
   Micros silent_until_ = 0;
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -40,17 +40,17 @@
   return found == workers_.end() ? std::nullopt : found->second.last;
 }
 
-void ProbeSharing::On(MemberCame&& e) {
+void ProbeSharing::On(MemberJoined&& e) {
   ownership_.SetMember(e.name, e.weight,
                        [this](const auto& worker, const auto& owner) { Owned(worker, owner, false); });
 }
 
-void ProbeSharing::On(MemberWent&& e) {
+void ProbeSharing::On(MemberLeft&& e) {
   ownership_.RemoveMember(e.name,
                           [this](const auto& worker, const auto& owner) { Owned(worker, owner, true); });
 }
 
-void ProbeSharing::On(WorkersAre&& e) {
+void ProbeSharing::On(WorkersChanged&& e) {
   std::map<std::string, std::string> now(e.workers.begin(), e.workers.end());
   for (auto at = workers_.begin(); at != workers_.end();) {
     if (now.contains(at->first)) {
@@ -148,11 +148,11 @@
   }
   ProbeResult result{name, NextStamp(), settings_.name, e.outcome, e.elapsed, e.report};
   worker.last = result;
-  effects_->push_back(TellAll{result});
-  effects_->push_back(TellModule{std::move(result)});
+  effects_->push_back(BroadcastResult{result});
+  effects_->push_back(DeliverResult{std::move(result)});
 }
 
-void ProbeSharing::On(ResultHeard&& e) {
+void ProbeSharing::On(ProbeResultReceived&& e) {
   const auto known = workers_.find(e.result.worker);
   if (known == workers_.end())
     return;
@@ -168,8 +168,8 @@
   }
   ++counters_.heard;
   last = e.result;
-  effects_->push_back(TellAll{e.result});
-  effects_->push_back(TellModule{std::move(e.result)});
+  effects_->push_back(BroadcastResult{e.result});
+  effects_->push_back(DeliverResult{std::move(e.result)});
 }
 
 Stamp ProbeSharing::NextStamp() {
--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -32,14 +32,14 @@
 
 // ---- Events ----
 
-struct MemberCame {  // or its weight has changed
+struct MemberJoined {  // or its weight has changed
   std::string name;
   std::uint32_t weight = 100;
 };
-struct MemberWent {
+struct MemberLeft {
   std::string name;
 };
-struct WorkersAre {  // all of them, as (name, address)
+struct WorkersChanged {  // all of them, as (name, address)
   std::vector<std::pair<std::string, std::string>> workers;
 };
 struct ProbeEnded {
@@ -48,11 +48,12 @@
   Micros elapsed = 0;
   LoadReport report;
 };
-struct ResultHeard {
+struct ProbeResultReceived {
   ProbeResult result;
 };
 struct ProbeTime {};  // next_due() is reached
-using ProbeEvent = std::variant<MemberCame, MemberWent, WorkersAre, ProbeEnded, ResultHeard, ProbeTime>;
+using ProbeEvent =
+    std::variant<MemberJoined, MemberLeft, WorkersChanged, ProbeEnded, ProbeResultReceived, ProbeTime>;
 
 // ---- Effects ----
 
@@ -61,13 +62,13 @@
   std::string worker;
   std::string address;
 };
-struct TellAll {
+struct BroadcastResult {
   ProbeResult result;
 };
-struct TellModule {
+struct DeliverResult {
   ProbeResult result;
 };
-using ProbeEffect = std::variant<StartProbe, TellAll, TellModule>;
+using ProbeEffect = std::variant<StartProbe, BroadcastResult, DeliverResult>;
 
 struct ProbeCounters {
   std::uint64_t started = 0, ended = 0;
@@ -108,11 +109,11 @@
     Micros overdue_at = 0;
   };
 
-  void On(MemberCame&& e);
-  void On(MemberWent&& e);
-  void On(WorkersAre&& e);
+  void On(MemberJoined&& e);
+  void On(MemberLeft&& e);
+  void On(WorkersChanged&& e);
   void On(ProbeEnded&& e);
-  void On(ResultHeard&& e);
+  void On(ProbeResultReceived&& e);
   void On(ProbeTime&& e);
   void Owned(const std::string& name, const std::string& owner, bool by_departure);
   void Schedule(const std::string& name, Worker* worker, Micros at);
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -13,7 +13,7 @@
   out.pack(static_cast<std::uint8_t>(u.state)), out.pack(u.weight), out.pack(u.accuser);
 }
 
-void Put(MessagePacker& out, const Rumor& r) {
+void Put(MessagePacker& out, const GossipMessage& r) {
   out.pack_array(2);
   out.pack(r.key), out.pack(r.body);
 }
@@ -29,7 +29,7 @@
   out.pack_array(3);
   out.pack(m.number), out.pack(m.target), out.pack(m.epoch);
 }
-void PutFields(MessagePacker& out, const PingFor& m) {
+void PutFields(MessagePacker& out, const IndirectPing& m) {
   out.pack_array(4);
   out.pack(m.number), out.pack(m.target), out.pack(m.address), out.pack(m.epoch);
 }
@@ -37,7 +37,7 @@
   out.pack_array(1);
   out.pack(m.number);
 }
-void PutFields(MessagePacker& out, const Nack& m) {
+void PutFields(MessagePacker& out, const NegativeAck& m) {
   out.pack_array(1);
   out.pack(m.number);
 }
@@ -72,8 +72,8 @@
   return u;
 }
 
-Rumor TakeRumor(MessageFields& in) {
-  Rumor r;
+GossipMessage TakeGossip(MessageFields& in) {
+  GossipMessage r;
   r.key = in.Take<std::string>();
   r.body = in.Take<std::string>();
   return r;
@@ -87,7 +87,7 @@
       return m;
     }
     case 1: {
-      PingFor m;
+      IndirectPing m;
       m.number = in.Take<std::uint32_t>(), m.target = in.Name(), m.address = in.Name(),
       m.epoch = in.Number53();
       return m;
@@ -95,7 +95,7 @@
     case 2:
       return Ack{in.Take<std::uint32_t>()};
     case 3:
-      return Nack{in.Take<std::uint32_t>()};
+      return NegativeAck{in.Take<std::uint32_t>()};
     case 4:
       return Gossip{};
     case 5:
@@ -121,7 +121,7 @@
     out.pack(static_cast<std::uint32_t>(packet.message.index()));
     std::visit([&](const auto& m) { PutFields(out, m); }, packet.message);
     PutAll(out, packet.updates);
-    PutAll(out, packet.rumors);
+    PutAll(out, packet.gossip);
   });
 }
 
@@ -136,7 +136,7 @@
     const auto kind = in.Take<std::uint32_t>();
     packet.message = TakeMessage(kind, MessageFields(in.Object()));
     packet.updates = in.List<Update>(TakeUpdate);
-    packet.rumors = in.List<Rumor>(TakeRumor);
+    packet.gossip = in.List<GossipMessage>(TakeGossip);
     in.End();
     return packet;
   });
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -19,12 +19,12 @@
 
 // What each takes in a packet, at most (codec.cpp writes it; the tests hold every packet to its bound).
 std::size_t SizeOf(const Update& u) { return u.name.size() + u.address.size() + u.accuser.size() + 32; }
-std::size_t SizeOf(const Rumor& r) { return r.key.size() + r.body.size() + 12; }
+std::size_t SizeOf(const GossipMessage& r) { return r.key.size() + r.body.size() + 12; }
 std::size_t SizeOfPacket(const Packet& p) {
   std::size_t size = p.from.size() + 40;
   if (const auto* ping = std::get_if<Ping>(&p.message))
     size += ping->target.size() + 24;
-  if (const auto* ask = std::get_if<PingFor>(&p.message))
+  if (const auto* ask = std::get_if<IndirectPing>(&p.message))
     size += ask->target.size() + ask->address.size() + 32;
   if (const auto* direct = std::get_if<Direct>(&p.message))
     size += direct->body.size() + 8;
@@ -41,7 +41,7 @@
     : settings_(std::move(settings)),
       random_(seed),
       updates_(settings_.most_members),
-      rumors_(settings_.most_rumors) {}
+      gossip_(settings_.most_gossip_messages) {}
 
 void Membership::Handle(Micros now, Event event, std::vector<Effect>* effects) {
   now_ = std::max(now_, now);
@@ -53,12 +53,12 @@
   if (!started_)
     return kNever;
   Micros due = std::min({next_probe_, next_gossip_, next_compare_, next_forget_});
-  if (probe_ && !probe_->answered && !probe_->asked_others)
-    due = std::min(due, probe_->others_at);
+  if (probe_ && !probe_->answered && !probe_->indirect_probes_sent)
+    due = std::min(due, probe_->indirect_probes_at);
   if (!suspicions_.empty())
     due = std::min(due, suspicions_.begin()->first);
   for (const auto& [number, relay] : relays_)
-    due = std::min(due, relay.nack_at);
+    due = std::min(due, relay.negative_ack_at);
   return due;
 }
 
@@ -71,7 +71,7 @@
 std::map<std::string, Update> Membership::View() const {
   std::map<std::string, Update> view;
   for (const auto& [name, entry] : others_)
-    view.emplace(name, entry.said);
+    view.emplace(name, entry.reported);
   view.emplace(settings_.name, self());
   return view;
 }
@@ -80,7 +80,7 @@
   if (name == settings_.name)
     return leaving_ ? State::kLeft : State::kAlive;
   const auto found = others_.find(name);
-  return found == others_.end() ? std::nullopt : std::optional(found->second.said.state);
+  return found == others_.end() ? std::nullopt : std::optional(found->second.reported.state);
 }
 
 // ---- Events ----
@@ -94,46 +94,46 @@
   next_gossip_ = now_ + within(settings_.gossip_interval);
   next_compare_ = now_;
   next_forget_ = now_ + kForgetEvery;
-  PassOn(self());
+  EnqueueBroadcast(self());
 }
 
-void Membership::On(PacketCame&& e) {
+void Membership::On(PacketReceived&& e) {
   const Packet& p = e.packet;
   if (!started_ || p.from == settings_.name)
     return;  // our own, come back, or a namesake's: either tells nothing
   for (const Update& update : p.updates)
-    Hear(update);
+    ApplyUpdate(update);
   std::visit([&](const auto& m) { On(e.address, p, m); }, p.message);
-  for (const Rumor& rumor : p.rumors)
-    effects_->push_back(RumorHeard{p.from, rumor});
+  for (const GossipMessage& message : p.gossip)
+    effects_->push_back(GossipReceived{p.from, message});
   // One that is taken for dead, or that speaks from a life we have not heard of, is told so at once.
   const auto sender = others_.find(p.from);
   if (sender == others_.end() || now_ - sender->second.since < settings_.gossip_interval)
     return;
   Entry& entry = sender->second;
-  if (entry.said.state == State::kDead && entry.said.incarnation.epoch <= p.epoch) {
+  if (entry.reported.state == State::kDead && entry.reported.incarnation.epoch <= p.epoch) {
     entry.since = now_;  // at most once a gossip interval
-    Send(e.address, Table{{entry.said}, false});
+    Send(e.address, Table{{entry.reported}, false});
   }
 }
 
-void Membership::On(const TimeCame&) {
+void Membership::On(const TimerExpired&) {
   if (!started_)
     return;
   // What was due long ago means that this instance itself stood still: others are not to suffer for it.
   if (const Micros late = now_ - next_due(); late > settings_.probe_interval)
     StretchFor(late);
   while (next_due() <= now_) {
-    if (probe_ && !probe_->answered && !probe_->asked_others && probe_->others_at <= now_)
-      AskOthers();
+    if (probe_ && !probe_->answered && !probe_->indirect_probes_sent && probe_->indirect_probes_at <= now_)
+      SendIndirectProbes();
     while (!suspicions_.empty() && suspicions_.begin()->first <= now_)
       DeclareDead(std::string(suspicions_.begin()->second));
     for (auto at = relays_.begin(); at != relays_.end();) {
-      if (at->second.nack_at > now_) {
+      if (at->second.negative_ack_at > now_) {
         ++at;
         continue;
       }
-      Send(at->second.address, Nack{at->second.number});
+      Send(at->second.address, NegativeAck{at->second.number});
       at = relays_.erase(at);
     }
     if (next_probe_ <= now_) {
@@ -149,30 +149,30 @@
   }
 }
 
-void Membership::On(SpreadAsked&& e) {
-  const std::size_t size = SizeOf(e.rumor);
+void Membership::On(BroadcastRequested&& e) {
+  const std::size_t size = SizeOf(e.message);
   if (size + 128 > settings_.datagram)
     return;  // could never go out
-  const std::string key = e.rumor.key;
-  rumors_.Put(key, std::move(e.rumor), size);
+  const std::string key = e.message.key;
+  gossip_.Put(key, std::move(e.message), size);
 }
 
-void Membership::On(DirectAsked&& e) {
+void Membership::On(DirectMessageRequested&& e) {
   const auto to = others_.find(e.to);
-  if (!started_ || to == others_.end() || !Lives(to->second.said.state))
+  if (!started_ || to == others_.end() || !Lives(to->second.reported.state))
     return;
-  Send(to->second.said.address, Direct{std::move(e.body)});
+  Send(to->second.reported.address, Direct{std::move(e.body)});
 }
 
-void Membership::On(const LeaveAsked&) {
+void Membership::On(const LeaveRequested&) {
   if (!started_ || std::exchange(leaving_, true))
     return;
   probe_.reset();
   Update gone = self();
   gone.accuser = settings_.name;
-  PassOn(gone);
+  EnqueueBroadcast(gone);
   for (const std::string& name : Some(8, ""))
-    Send(others_.at(name).said.address, Gossip{});
+    Send(others_.at(name).reported.address, Gossip{});
 }
 
 // ---- Messages ----
@@ -182,11 +182,11 @@
     return;
   if (m.epoch == incarnation_.epoch)
     return Send(address, Ack{m.number});
-  PassOn(self());  // it asks for an earlier life of ours
+  EnqueueBroadcast(self());  // it asks for an earlier life of ours
   Send(address, Gossip{});
 }
 
-void Membership::On(const std::string& address, const Packet&, const PingFor& m) {
+void Membership::On(const std::string& address, const Packet&, const IndirectPing& m) {
   if (m.target == settings_.name || relays_.size() >= kMostRelays)
     return;
   const std::uint32_t number = next_number_++;
@@ -203,20 +203,20 @@
   if (!probe_ || probe_->number != m.number || probe_->answered)
     return;
   // Directly it can come from the target alone, else from whom we asked to try.
-  if (!probe_->asked_others && p.from != probe_->target)
+  if (!probe_->indirect_probes_sent && p.from != probe_->target)
     return;
   probe_->answered = true;
   Better();
 }
 
-void Membership::On(const std::string&, const Packet&, const Nack& m) {
-  if (probe_ && probe_->number == m.number && probe_->nacks_owed > 0)
-    --probe_->nacks_owed;
+void Membership::On(const std::string&, const Packet&, const NegativeAck& m) {
+  if (probe_ && probe_->number == m.number && probe_->negative_acks_expected > 0)
+    --probe_->negative_acks_expected;
 }
 
 void Membership::On(const std::string& address, const Packet& p, const Compare& m) {
   const auto known = others_.find(p.from);
-  const bool met = known != others_.end() && Lives(known->second.said.state);
+  const bool met = known != others_.end() && Lives(known->second.reported.state);
   if (met && m.digest == Digest())
     return;
   SendTable(address, /*reply=*/true);
@@ -224,84 +224,87 @@
 
 void Membership::On(const std::string& address, const Packet&, const Table& m) {
   for (const Update& update : m.members)
-    Hear(update);
+    ApplyUpdate(update);
   if (m.reply)
     SendTable(address, /*reply=*/false);
 }
 
 void Membership::On(const std::string&, const Packet& p, const Direct& m) {
-  effects_->push_back(DirectHeard{p.from, p.epoch, m.body});
+  effects_->push_back(DirectMessageReceived{p.from, p.epoch, m.body});
 }
 
 // ---- What is said of members ----
 
-void Membership::Hear(const Update& said) {
-  if (said.name == settings_.name)
-    return HearOfSelf(said);
-  const auto found = others_.find(said.name);
+void Membership::ApplyUpdate(const Update& reported) {
+  if (reported.name == settings_.name)
+    return HandleUpdateAboutSelf(reported);
+  const auto found = others_.find(reported.name);
   if (found == others_.end()) {
     // One that was never known and is gone needs no place.
-    if (!Lives(said.state))
+    if (!Lives(reported.state))
       return;
     if (others_.size() + 1 >= settings_.most_members && !ForgetOneDead()) {
       ++counters_.members_refused;
       return;
     }
-    Entry& entry = others_[said.name];
-    entry.said = said;
-    entry.said.state = State::kAlive;
+    Entry& entry = others_[reported.name];
+    entry.reported = reported;
+    entry.reported.state = State::kAlive;
     entry.since = now_;
     ++living_;
-    order_.insert(order_.begin() + random_(static_cast<std::uint32_t>(order_.size() + 1)), said.name);
-    effects_->push_back(MemberNews{MemberNews::What::kJoined, entry.said});
-    PassOn(entry.said);
-    if (said.state == State::kSuspect)
-      Accuse(&entry, said);
+    order_.insert(order_.begin() + random_(static_cast<std::uint32_t>(order_.size() + 1)), reported.name);
+    effects_->push_back(MembershipChange{MembershipChange::What::kJoined, entry.reported});
+    EnqueueBroadcast(entry.reported);
+    if (reported.state == State::kSuspect)
+      RecordSuspicion(&entry, reported);
     return;
   }
   Entry& entry = found->second;
-  const Update& known = entry.said;
-  const bool newer = said.incarnation > known.incarnation;
-  const bool other_life = said.incarnation.epoch > known.incarnation.epoch;
-  switch (said.state) {
+  const Update& known = entry.reported;
+  const bool newer = reported.incarnation > known.incarnation;
+  const bool other_life = reported.incarnation.epoch > known.incarnation.epoch;
+  switch (reported.state) {
     case State::kAlive:
       if (!newer)
         return;
       if (known.state == State::kDead && !other_life)
         ++counters_.deaths_refuted;
-      return Become(&entry, said, other_life ? MemberNews::What::kRestarted : MemberNews::What::kAlive);
+      return Become(&entry, reported,
+                    other_life ? MembershipChange::What::kRestarted : MembershipChange::What::kAlive);
     case State::kSuspect:
       if (newer) {
-        Update alive = said;
+        Update alive = reported;
         alive.state = State::kAlive;
         alive.accuser.clear();
-        Become(&entry, alive, other_life ? MemberNews::What::kRestarted : MemberNews::What::kAlive);
+        Become(&entry, alive,
+               other_life ? MembershipChange::What::kRestarted : MembershipChange::What::kAlive);
       }
-      if (said.incarnation == known.incarnation && Lives(known.state))
-        Accuse(&entry, said);
+      if (reported.incarnation == known.incarnation && Lives(known.state))
+        RecordSuspicion(&entry, reported);
       return;
     case State::kDead:
     case State::kLeft:
-      if (said.incarnation < known.incarnation || (!newer && !Lives(known.state)))
+      if (reported.incarnation < known.incarnation || (!newer && !Lives(known.state)))
         return;
-      return Become(&entry, said,
-                    said.state == State::kDead ? MemberNews::What::kDead : MemberNews::What::kLeft);
+      return Become(
+          &entry, reported,
+          reported.state == State::kDead ? MembershipChange::What::kDead : MembershipChange::What::kLeft);
   }
 }
 
-void Membership::HearOfSelf(const Update& said) {
+void Membership::HandleUpdateAboutSelf(const Update& reported) {
   if (leaving_)
     return;
-  if (said.address != settings_.address && said.incarnation >= incarnation_)
+  if (reported.address != settings_.address && reported.incarnation >= incarnation_)
     ++counters_.name_conflicts;
-  if (said.incarnation.epoch > incarnation_.epoch) {
+  if (reported.incarnation.epoch > incarnation_.epoch) {
     // An earlier life whose clock was ahead (or a namesake): this one must still go before it.
-    incarnation_ = {said.incarnation.epoch + 1, 0};
-    PassOn(self());
-  } else if (said.incarnation < incarnation_) {
-    PassOn(self());
-  } else if (said.state != State::kAlive) {
-    Refute(said.incarnation);
+    incarnation_ = {reported.incarnation.epoch + 1, 0};
+    EnqueueBroadcast(self());
+  } else if (reported.incarnation < incarnation_) {
+    EnqueueBroadcast(self());
+  } else if (reported.state != State::kAlive) {
+    Refute(reported.incarnation);
   }
 }
 
@@ -310,33 +313,33 @@
   incarnation_.turn = std::max(incarnation_.turn, above.turn) + 1;
   ++counters_.refutations;
   Worse(1);
-  PassOn(self());
+  EnqueueBroadcast(self());
 #else
   static_cast<void>(above);
 #endif
 }
 
-void Membership::Accuse(Entry* entry, const Update& said) {
-  const std::string& name = entry->said.name;
-  if (entry->said.state == State::kAlive) {
+void Membership::RecordSuspicion(Entry* entry, const Update& reported) {
+  const std::string& name = entry->reported.name;
+  if (entry->reported.state == State::kAlive) {
     entry->accusers.clear();
     entry->suspected = now_;
     entry->dead_at = 0;
     ++counters_.suspicions;
-    Update suspect = entry->said;
+    Update suspect = entry->reported;
     suspect.state = State::kSuspect;
-    suspect.accuser = said.accuser;
-    Become(entry, suspect, MemberNews::What::kSuspect);
-  } else if (entry->accusers.contains(said.accuser) ||
+    suspect.accuser = reported.accuser;
+    Become(entry, suspect, MembershipChange::What::kSuspect);
+  } else if (entry->accusers.contains(reported.accuser) ||
              std::ssize(entry->accusers) > settings_.confirmations) {
     return;  // nothing new
   } else {
     // Lifeguard: confirmations are passed on as well, as they shorten the others' wait.
-    Update confirmed = entry->said;
-    confirmed.accuser = said.accuser;
-    PassOn(confirmed);
+    Update confirmed = entry->reported;
+    confirmed.accuser = reported.accuser;
+    EnqueueBroadcast(confirmed);
   }
-  entry->accusers.insert(said.accuser);
+  entry->accusers.insert(reported.accuser);
   if (entry->dead_at != 0)
     suspicions_.erase({entry->dead_at, name});
   entry->dead_at = std::max(now_, SuspicionEnds(*entry));
@@ -360,28 +363,28 @@
          std::max(least, static_cast<Micros>(most - (most - static_cast<double>(least)) * share));
 }
 
-void Membership::Become(Entry* entry, const Update& said, MemberNews::What what) {
+void Membership::Become(Entry* entry, const Update& reported, MembershipChange::What what) {
   if (entry->dead_at != 0)
-    suspicions_.erase({entry->dead_at, entry->said.name});
+    suspicions_.erase({entry->dead_at, entry->reported.name});
   entry->dead_at = 0;
-  if (Lives(entry->said.state))
+  if (Lives(entry->reported.state))
     --living_;
-  if (Lives(said.state))
+  if (Lives(reported.state))
     ++living_;
-  entry->said = said;
+  entry->reported = reported;
   entry->since = now_;
-  effects_->push_back(MemberNews{what, said});
-  PassOn(said);
+  effects_->push_back(MembershipChange{what, reported});
+  EnqueueBroadcast(reported);
 }
 
-void Membership::PassOn(const Update& update) { updates_.Put(update.name, update, SizeOf(update)); }
+void Membership::EnqueueBroadcast(const Update& update) { updates_.Put(update.name, update, SizeOf(update)); }
 
 void Membership::DeclareDead(const std::string& name) {
-  Update dead = others_.at(name).said;
+  Update dead = others_.at(name).reported;
   dead.state = State::kDead;
   dead.accuser = settings_.name;
   ++counters_.deaths;
-  Hear(dead);
+  ApplyUpdate(dead);
 }
 
 // ---- Probes ----
@@ -394,27 +397,27 @@
   const std::optional<std::string> target = NextTarget();
   if (!target)
     return;
-  const Update& said = others_.at(*target).said;
+  const Update& reported = others_.at(*target).reported;
   ++counters_.probes;
   probe_ =
       Probe{*target, next_number_++, 0, false, false, now_ + Stretched(settings_.probe_timeout), next_probe_};
-  Send(said.address, Ping{probe_->number, *target, said.incarnation.epoch}, *target);
+  Send(reported.address, Ping{probe_->number, *target, reported.incarnation.epoch}, *target);
 }
 
-void Membership::AskOthers() {
-  probe_->asked_others = true;
+void Membership::SendIndirectProbes() {
+  probe_->indirect_probes_sent = true;
   const auto target = others_.find(probe_->target);
   if (target == others_.end())
     return;
-  const Update said = target->second.said;
+  const Update reported = target->second.reported;
   for (const std::string& name : Some(static_cast<std::size_t>(settings_.indirect_probes), probe_->target)) {
-    ++probe_->nacks_owed;
+    ++probe_->negative_acks_expected;
     ++counters_.indirect_probes;
-    Send(others_.at(name).said.address,
-         PingFor{probe_->number, said.name, said.address, said.incarnation.epoch});
+    Send(others_.at(name).reported.address,
+         IndirectPing{probe_->number, reported.name, reported.address, reported.incarnation.epoch});
   }
-  if (probe_->nacks_owed == 0)
-    probe_->nacks_owed = 1;  // nobody to ask: it may as well be us
+  if (probe_->negative_acks_expected == 0)
+    probe_->negative_acks_expected = 1;  // nobody to ask: it may as well be us
 }
 
 void Membership::EndProbe() {
@@ -423,14 +426,14 @@
     return;
   ++counters_.probes_failed;
   // Those asked to try and silent as well: then it is likelier us.
-  Worse(probe->nacks_owed);
+  Worse(probe->negative_acks_expected);
   const auto target = others_.find(probe->target);
-  if (target == others_.end() || !Lives(target->second.said.state))
+  if (target == others_.end() || !Lives(target->second.reported.state))
     return;
-  Update accused = target->second.said;
+  Update accused = target->second.reported;
   accused.state = State::kSuspect;
   accused.accuser = settings_.name;
-  Hear(accused);
+  ApplyUpdate(accused);
 }
 
 std::optional<std::string> Membership::NextTarget() {
@@ -446,7 +449,7 @@
     }
     const std::string& name = order_[next_in_order_++];
     const auto found = others_.find(name);
-    if (found != others_.end() && Lives(found->second.said.state))
+    if (found != others_.end() && Lives(found->second.reported.state))
       return name;
   }
   return std::nullopt;
@@ -456,16 +459,16 @@
 
 void Membership::SendGossip() {
   next_gossip_ = now_ + settings_.gossip_interval;
-  if (updates_.size() == 0 && rumors_.size() == 0)
+  if (updates_.size() == 0 && gossip_.size() == 0)
     return;
   for (const std::string& name : Some(static_cast<std::size_t>(settings_.gossip_fanout), "", true)) {
-    if (updates_.size() == 0 && rumors_.size() == 0)
+    if (updates_.size() == 0 && gossip_.size() == 0)
       return;
-    Send(others_.at(name).said.address, Gossip{}, name);
+    Send(others_.at(name).reported.address, Gossip{}, name);
   }
-  for (int more = 0; more < settings_.gossip_burst && rumors_.size() > 0; ++more) {
+  for (int more = 0; more < settings_.gossip_burst && gossip_.size() > 0; ++more) {
     for (const std::string& name : Some(1, ""))
-      Send(others_.at(name).said.address, Gossip{}, name);
+      Send(others_.at(name).reported.address, Gossip{}, name);
   }
 }
 
@@ -478,15 +481,15 @@
     return;
   const std::uint64_t digest = Digest();
   for (const std::string& name : Some(1, ""))
-    Send(others_.at(name).said.address, Compare{digest});
+    Send(others_.at(name).reported.address, Compare{digest});
   // One that was lost: after a split nothing else brings the halves together.
   std::vector<std::string> lost;
   std::set<std::string> met{settings_.address};
   for (const auto& [name, entry] : others_) {
-    if (Lives(entry.said.state))
-      met.insert(entry.said.address);
-    if (entry.said.state == State::kDead)
-      lost.push_back(entry.said.address);
+    if (Lives(entry.reported.state))
+      met.insert(entry.reported.address);
+    if (entry.reported.state == State::kDead)
+      lost.push_back(entry.reported.address);
   }
   for (const std::string& address : settings_.join) {
     if (!met.contains(address))
@@ -510,14 +513,14 @@
   ++counters_.tables_sent;
   for (const auto& [name, entry] : others_) {
     // The left are not worth telling, and the dead are told where they may be news: to one that knows them.
-    if (entry.said.state == State::kLeft)
+    if (entry.reported.state == State::kLeft)
       continue;
-    const std::size_t more = SizeOf(entry.said);
+    const std::size_t more = SizeOf(entry.reported);
     if (size + more + 200 > settings_.datagram) {
       Send(address, Table{std::exchange(part, {}), false});
       size = 0;
     }
-    part.push_back(entry.said);
+    part.push_back(entry.reported);
     size += more;
   }
   Send(address, Table{std::move(part), reply});
@@ -528,15 +531,15 @@
   std::size_t used = SizeOfPacket(packet);
   // Lifeguard's buddy system: a suspect hears of it from whoever speaks to it.
   if (const auto to = others_.find(to_name);
-      to != others_.end() && to->second.said.state == State::kSuspect) {
-    used += SizeOf(to->second.said);
-    packet.updates.push_back(to->second.said);
+      to != others_.end() && to->second.reported.state == State::kSuspect) {
+    used += SizeOf(to->second.reported);
+    packet.updates.push_back(to->second.reported);
   }
   if (used < settings_.datagram) {
     const std::size_t left = updates_.Take(settings_.datagram - used, Times(), &packet.updates);
     // Probes stay short: rumors go with gossip alone.
     if (std::holds_alternative<Gossip>(packet.message))
-      rumors_.Take(left, settings_.rumor_times, &packet.rumors);
+      gossip_.Take(left, settings_.gossip_transmissions, &packet.gossip);
   }
   effects_->push_back(SendPacket{address, std::move(packet)});
 }
@@ -550,8 +553,8 @@
     if (found == others_.end() || name == but)
       return false;
     const Entry& entry = found->second;
-    const bool told = Lives(entry.said.state) ||
-                      (recently_dead && entry.said.state == State::kDead && now_ - entry.since < kLatelyDead);
+    const bool told = Lives(entry.reported.state) || (recently_dead && entry.reported.state == State::kDead &&
+                                                      now_ - entry.since < kLatelyDead);
     return told && std::find(some.begin(), some.end(), name) == some.end();
   };
   // Drawn at random a bounded number of times, then whoever comes first from a random place on.
@@ -576,11 +579,11 @@
   next_forget_ = now_ + kForgetEvery;
   std::erase_if(others_, [this](const auto& named) {
     const Entry& entry = named.second;
-    if (Lives(entry.said.state))
+    if (Lives(entry.reported.state))
       return false;
     // One that left is remembered just as long as its old words may still go round.
-    const Micros kept =
-        entry.said.state == State::kLeft ? std::min(settings_.dead_kept, 60 * kSecond) : settings_.dead_kept;
+    const Micros kept = entry.reported.state == State::kLeft ? std::min(settings_.dead_kept, 60 * kSecond)
+                                                             : settings_.dead_kept;
     return now_ - entry.since >= kept;
   });
 }
@@ -588,7 +591,7 @@
 bool Membership::ForgetOneDead() {
   auto oldest = others_.end();
   for (auto at = others_.begin(); at != others_.end(); ++at) {
-    if (Lives(at->second.said.state))
+    if (Lives(at->second.reported.state))
       continue;
     if (oldest == others_.end() || at->second.since < oldest->second.since)
       oldest = at;
@@ -626,11 +629,11 @@
 
 std::uint64_t Membership::Digest() const {
   std::string text;
-  for (const auto& [name, said] : View()) {
-    if (!Lives(said.state))
+  for (const auto& [name, reported] : View()) {
+    if (!Lives(reported.state))
       continue;
-    text += name + '\n' + std::to_string(said.incarnation.epoch) + '.' +
-            std::to_string(said.incarnation.turn) + '\n';
+    text += name + '\n' + std::to_string(reported.incarnation.epoch) + '.' +
+            std::to_string(reported.incarnation.turn) + '\n';
   }
   return XXH3_64bits(text.data(), text.size());
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -24,20 +24,21 @@
 struct Started {
   std::uint64_t epoch = 0;  // Unix milliseconds; a life that begins later has a greater one
 };
-struct PacketCame {
+struct PacketReceived {
   std::string address;  // it came from
   Packet packet;
 };
-struct TimeCame {};  // next_due() is reached
-struct SpreadAsked {
-  Rumor rumor;
+struct TimerExpired {};  // next_due() is reached
+struct BroadcastRequested {
+  GossipMessage message;
 };
-struct DirectAsked {
+struct DirectMessageRequested {
   std::string to;  // a member's name; to one that is not alive nothing is sent
   std::string body;
 };
-struct LeaveAsked {};  // for good: the others take over at once
-using Event = std::variant<Started, PacketCame, TimeCame, SpreadAsked, DirectAsked, LeaveAsked>;
+struct LeaveRequested {};  // for good: the others take over at once
+using Event = std::variant<Started, PacketReceived, TimerExpired, BroadcastRequested, DirectMessageRequested,
+                           LeaveRequested>;
 
 // ---- Effects ----
 
@@ -45,20 +46,20 @@
   std::string address;
   Packet packet;
 };
-struct MemberNews {
+struct MembershipChange {
   enum class What { kJoined, kRestarted, kSuspect, kAlive, kDead, kLeft } what = What::kJoined;
   Update member;
 };
-struct RumorHeard {
+struct GossipReceived {
   std::string from;
-  Rumor rumor;
+  GossipMessage message;
 };
-struct DirectHeard {
+struct DirectMessageReceived {
   std::string from;
   std::uint64_t epoch = 0;
   std::string body;
 };
-using Effect = std::variant<SendPacket, MemberNews, RumorHeard, DirectHeard>;
+using Effect = std::variant<SendPacket, MembershipChange, GossipReceived, DirectMessageReceived>;
 
 struct Counters {
   std::uint64_t probes = 0, probes_failed = 0, indirect_probes = 0;
@@ -77,7 +78,7 @@
   Membership(Settings settings, std::uint64_t seed);
 
   void Handle(Micros now, Event event, std::vector<Effect>* effects);
-  // When TimeCame is next due.
+  // When TimerExpired is next due.
   Micros next_due() const;
 
   const Settings& settings() const { return settings_; }
@@ -91,7 +92,7 @@
 
  private:
   struct Entry {
-    Update said;
+    Update reported;
     Micros since = 0;  // of its state
     // While suspect:
     std::set<std::string> accusers;
@@ -101,45 +102,45 @@
   struct Probe {
     std::string target;
     std::uint32_t number = 0;
-    int nacks_owed = 0;
+    int negative_acks_expected = 0;
     bool answered = false;
-    bool asked_others = false;
-    Micros others_at = 0;
+    bool indirect_probes_sent = false;
+    Micros indirect_probes_at = 0;
     Micros ends = 0;
   };
   struct Relay {  // a probe on another's behalf
     std::string address;
     std::uint32_t number = 0;  // the asker's
-    Micros nack_at = 0;
+    Micros negative_ack_at = 0;
   };
 
   void On(const Started& e);
-  void On(PacketCame&& e);
-  void On(const TimeCame& e);
-  void On(SpreadAsked&& e);
-  void On(DirectAsked&& e);
-  void On(const LeaveAsked& e);
+  void On(PacketReceived&& e);
+  void On(const TimerExpired& e);
+  void On(BroadcastRequested&& e);
+  void On(DirectMessageRequested&& e);
+  void On(const LeaveRequested& e);
   void On(const std::string& address, const Packet& p, const Ping& m);
-  void On(const std::string& address, const Packet& p, const PingFor& m);
+  void On(const std::string& address, const Packet& p, const IndirectPing& m);
   void On(const std::string& address, const Packet& p, const Ack& m);
-  void On(const std::string& address, const Packet& p, const Nack& m);
+  void On(const std::string& address, const Packet& p, const NegativeAck& m);
   void On(const std::string&, const Packet&, const Gossip&) {}
   void On(const std::string& address, const Packet& p, const Compare& m);
   void On(const std::string& address, const Packet& p, const Table& m);
   void On(const std::string& address, const Packet& p, const Direct& m);
 
   // One said thing against what is known; what is news goes on to others and above.
-  void Hear(const Update& said);
-  void HearOfSelf(const Update& said);
-  void Accuse(Entry* entry, const Update& said);
+  void ApplyUpdate(const Update& reported);
+  void HandleUpdateAboutSelf(const Update& reported);
+  void RecordSuspicion(Entry* entry, const Update& reported);
   Micros SuspicionEnds(const Entry& entry) const;
-  void Become(Entry* entry, const Update& said, MemberNews::What what);
-  void PassOn(const Update& update);
+  void Become(Entry* entry, const Update& reported, MembershipChange::What what);
+  void EnqueueBroadcast(const Update& update);
   void DeclareDead(const std::string& name);
   void Refute(const Incarnation& above);
 
   void BeginProbe();
-  void AskOthers();
+  void SendIndirectProbes();
   void EndProbe();
   std::optional<std::string> NextTarget();
   void SendGossip();
@@ -165,7 +166,7 @@
   std::map<std::string, Entry> others_;
   std::size_t living_ = 1;
   SpreadQueue<Update> updates_;
-  SpreadQueue<Rumor> rumors_;
+  SpreadQueue<GossipMessage> gossip_;
   std::vector<std::string> order_;  // of probing: each once a round, in a new order each
   std::size_t next_in_order_ = 0;
   std::optional<Probe> probe_;
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -25,14 +25,14 @@
   Micros gossip_interval = 200 * kMillisecond;
   int gossip_fanout = 3;
   int retransmissions = 4;                 // times ceil(log10(members + 1)): how often an update rides along
-  int rumor_times = 4;                     // how often a rumor rides along: a later one replaces it soon
+  int gossip_transmissions = 4;            // how often a rumor rides along: a later one replaces it soon
   int gossip_burst = 12;                   // packets more in a gossip interval, while rumors wait
   Micros compare_interval = 10 * kSecond;  // views are compared with another's, and with one lost
   Micros dead_kept = 3'600 * kSecond;      // a dead member is remembered, and tried, for this long
   int health_most = 8;                     // how far an instance that is slow itself stretches its own times
   std::size_t datagram = 1'200;            // bytes of a packet before it is sealed, at most
   std::size_t most_members = 1'024;        // the dead that are remembered included
-  std::size_t most_rumors = 4'096;         // waiting to ride along; the longest told goes first
+  std::size_t most_gossip_messages = 4'096;  // waiting to ride along; the longest told goes first
   bool operator==(const Settings&) const = default;
 };
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -35,7 +35,7 @@
 };
 
 // Something that whoever stands above membership wants all to hear. It knows itself which of two is newer.
-struct Rumor {
+struct GossipMessage {
   std::string key;  // a later one of the same key takes its place in the queue
   std::string body;
 };
@@ -46,7 +46,7 @@
   std::uint64_t epoch =
       0;  // of the life that is asked: a restarted instance must not answer for its old self
 };
-struct PingFor {  // ask `target` on my behalf
+struct IndirectPing {  // ask `target` on my behalf
   std::uint32_t number = 0;
   std::string target;
   std::string address;
@@ -55,7 +55,7 @@
 struct Ack {
   std::uint32_t number = 0;
 };
-struct Nack {  // I am here, but the one you asked about has not answered me
+struct NegativeAck {  // I am here, but the one you asked about has not answered me
   std::uint32_t number = 0;
 };
 struct Gossip {};  // nothing but what rides along
@@ -69,7 +69,7 @@
 struct Direct {  // from one to one, for whoever stands above
   std::string body;
 };
-using Message = std::variant<Ping, PingFor, Ack, Nack, Gossip, Compare, Table, Direct>;
+using Message = std::variant<Ping, IndirectPing, Ack, NegativeAck, Gossip, Compare, Table, Direct>;
 
 // One datagram.
 struct Packet {
@@ -77,7 +77,7 @@
   std::uint64_t epoch = 0;
   Message message;
   std::vector<Update> updates;  // riding along
-  std::vector<Rumor> rumors;
+  std::vector<GossipMessage> gossip;
 };
 
 }  // namespace aldersill::membership
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -146,7 +146,7 @@
   } else {
     const auto term = instance.lease ? instance.lease->Holds(LocalTime(i)) : std::nullopt;
     if (term)
-      TellAll(i, *term);
+      BroadcastResult(i, *term);
     Push(now_ + kAnnounceEach, i, Announce{});
   }
 }
@@ -154,7 +154,7 @@
 void VirtualBudgets::Hear(int i, const Arrives& arrives) {
   if (const auto* lease = std::get_if<duties::LeaseMessage>(&arrives.message)) {
     if (instances_[i].lease)
-      ToLease(i, duties::LeaseHeard{name(arrives.from), *lease});
+      ToLease(i, duties::LeaseMessageReceived{name(arrives.from), *lease});
   } else if (const auto* ask = std::get_if<budgets::Ask>(&arrives.message)) {
     const auto& own = instances_[i].lease;
     ToGrantor(i, budgets::AskHeard{name(arrives.from), *ask, own ? own->Holds(LocalTime(i)) : std::nullopt});
@@ -167,7 +167,7 @@
   }
 }
 
-void VirtualBudgets::TellAll(int i, std::uint64_t term) {
+void VirtualBudgets::BroadcastResult(int i, std::uint64_t term) {
   for (int j = 0; j < size(); ++j) {
     if (Runs(j))
       Send(i, j, HoldsNow{term});
@@ -182,7 +182,7 @@
       Send(i, Number(send->to), std::move(send->message));
     } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
       ToGrantor(i, budgets::TermBegan{taken->term});
-      TellAll(i, taken->term);
+      BroadcastResult(i, taken->term);
     } else {
       ToGrantor(i, budgets::TermEnded{});
     }
--- a/tools/virtual_budgets/virtual_budgets.h
+++ b/tools/virtual_budgets/virtual_budgets.h
@@ -141,7 +141,7 @@
   void ToGrantor(int i, budgets::GrantorEvent event);
   template <typename M>
   void Send(int from, int to, M message);
-  void TellAll(int i, std::uint64_t term);
+  void BroadcastResult(int i, std::uint64_t term);
   void SetTimer(int i);
   bool Chance(double share) { return share > 0 && Share() < share; }
   Micros Delay();
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -84,11 +84,11 @@
   // Its timers are long overdue, and its sockets full: the loop may serve either first.
   const bool timers_first = random_(2) == 0;
   if (timers_first)
-    Tell(i, cluster::Time{});
+    Tell(i, cluster::TimerExpired{});
   for (std::deque<What> held = std::exchange(instance.held, {}); !held.empty(); held.pop_front())
     Deliver(i, held.front());
   if (!timers_first)
-    Tell(i, cluster::Time{});
+    Tell(i, cluster::TimerExpired{});
 }
 
 void VirtualCluster::Leave(int i) { Tell(i, cluster::Leave{}); }
@@ -143,20 +143,20 @@
     if (rings->setting != instances_[i].setting)
       return;
     instances_[i].rings = 0;
-    return Tell(i, cluster::Time{});
+    return Tell(i, cluster::TimerExpired{});
   }
   if (const auto* arrives = std::get_if<Arrives>(&what)) {
     if (!o_.through_bytes)
-      return Tell(i, cluster::Came{arrives->address, *arrives->packet});
+      return Tell(i, cluster::PacketReceived{arrives->address, *arrives->packet});
     auto packet = membership::Decode(*arrives->bytes);
     if (!packet)
       throw std::logic_error("a packet does not decode");
-    return Tell(i, cluster::Came{arrives->address, std::move(*packet)});
+    return Tell(i, cluster::PacketReceived{arrives->address, std::move(*packet)});
   }
   const auto& answers = std::get<Answers>(what);
   LoadReport report;
   report.free_slots = 3.0;
-  Tell(i, cluster::Probed{answers.number, Outcome::kServed, answers.elapsed, report});
+  Tell(i, cluster::ProbeCompleted{answers.number, Outcome::kServed, answers.elapsed, report});
 }
 
 void VirtualCluster::Tell(int i, cluster::Event event) {
@@ -169,10 +169,10 @@
       Do(i, std::move(*send));
     } else if (auto* probe = std::get_if<cluster::Probe>(&effect)) {
       Do(i, std::move(*probe));
-    } else if (const auto* news = std::get_if<membership::MemberNews>(&effect)) {
+    } else if (const auto* news = std::get_if<membership::MembershipChange>(&effect)) {
       if (on_news)
         on_news(i, *news);
-    } else if (const auto* lease = std::get_if<cluster::LeaseNews>(&effect)) {
+    } else if (const auto* lease = std::get_if<cluster::LeaseChange>(&effect)) {
       if (on_lease)
         on_lease(i, *lease);
     } else if (on_result) {
--- a/tools/virtual_cluster/virtual_cluster.h
+++ b/tools/virtual_cluster/virtual_cluster.h
@@ -68,8 +68,8 @@
   std::string WorkerName(int worker) const;
 
   // What the run is watched by; each may be empty.
-  std::function<void(int, const membership::MemberNews&)> on_news;
-  std::function<void(int, const cluster::LeaseNews&)> on_lease;
+  std::function<void(int, const membership::MembershipChange&)> on_news;
+  std::function<void(int, const cluster::LeaseChange&)> on_lease;
   std::function<void(int, const duties::ProbeResult&)> on_result;
   std::function<void(int, const std::string&)> on_probe;  // a worker is probed by an instance
   std::function<void()> after_each;
