--- a/src/budgets/codec.h
+++ b/src/budgets/codec.h
@@ -11,7 +11,7 @@
 
 namespace aldersill::budgets {
 
-using Message = std::variant<Ask, Answer>;
+using Message = std::variant<QuotaRequest, QuotaGrant>;
 
 std::string Encode(const Message& message);
 // Nothing where the bytes are not a message, to the last of them.
--- a/src/budgets/division.cpp
+++ b/src/budgets/division.cpp
@@ -6,12 +6,12 @@
 
 namespace aldersill::budgets {
 
-std::vector<Units> Divide(Units whole, Units floors, const std::vector<Claim>& claims) {
+std::vector<Units> Divide(Units total, Units floors, const std::vector<Claim>& claims) {
   std::vector<Units> shares(claims.size(), 0);
   double weights = 0;
   for (const Claim& c : claims)
     weights += c.weight;
-  if (weights <= 0 || whole <= 0)
+  if (weights <= 0 || total <= 0)
     return shares;
   std::vector<double> wants(claims.size());
   for (std::size_t i = 0; i < claims.size(); ++i) {
@@ -25,7 +25,7 @@
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
     return wants[a] * claims[b].weight < wants[b] * claims[a].weight;
   });
-  double left = static_cast<double>(whole), weights_left = weights;
+  double left = static_cast<double>(total), weights_left = weights;
   std::vector<double> exact(claims.size(), 0.0);
   for (const std::size_t i : order) {
     exact[i] = std::min(wants[i], left * claims[i].weight / weights_left);
@@ -36,11 +36,11 @@
   for (const std::size_t i : order) {
     // Less a thousandth of a unit at most: what rounding up would add could bring the sum above the whole.
     shares[i] = static_cast<Units>(std::floor(exact[i] + left * claims[i].weight / weights + 1e-6));
-    shares[i] = std::min(shares[i], whole - given);
+    shares[i] = std::min(shares[i], total - given);
     given += shares[i];
   }
   // What rounding left over, one by one to who wants it, the largest want first.
-  for (auto at = order.rbegin(); at != order.rend() && given < whole; ++at) {
+  for (auto at = order.rbegin(); at != order.rend() && given < total; ++at) {
     if (static_cast<double>(shares[*at]) < wants[*at])
       ++shares[*at], ++given;
   }
--- a/src/budgets/division.h
+++ b/src/budgets/division.h
@@ -18,7 +18,7 @@
 // One share for each claim; their sum is never above `whole`. Each has at least its part by weight of
 // `floors` (for who has just come, and has had no chance to show a demand). What nobody wants is divided by
 // weight.
-std::vector<Units> Divide(Units whole, Units floors, const std::vector<Claim>& claims);
+std::vector<Units> Divide(Units total, Units floors, const std::vector<Claim>& claims);
 
 }  // namespace aldersill::budgets
 
--- a/src/budgets/errors.cpp
+++ b/src/budgets/errors.cpp
@@ -24,7 +24,7 @@
               "everywhere or give it a free seat"};
     case ErrorCode::kLeaving:
       return {"budget.leaving", "this instance is about to end; send the request to another"};
-    case ErrorCode::kBadWhole:
+    case ErrorCode::kBadTotal:
       return {"budget.bad_whole", "the whole must be above 0"};
     case ErrorCode::kBadBurst:
       return {"budget.bad_burst", "the burst must be at least `instances`: each may have one start in hand"};
@@ -33,7 +33,7 @@
     case ErrorCode::kBadLongestUse:
       return {"budget.bad_longest_use",
               "a level needs the longest time for which a slot can be in use: the jobs' own time limit"};
-    case ErrorCode::kBadAside:
+    case ErrorCode::kBadReserve:
       return {"budget.bad_aside", "the part kept aside must be from 0 to 1"};
     case ErrorCode::kBadInstances:
       return {"budget.bad_instances", "the number of instances must be from 1 to 1,024"};
--- a/src/budgets/errors.h
+++ b/src/budgets/errors.h
@@ -15,11 +15,11 @@
   kNoSeat,   // no grant, and above the stated number of instances: nothing at all
   kLeaving,  // this instance gave everything back
   // Settings.
-  kBadWhole,
+  kBadTotal,
   kBadBurst,
   kBadWindow,
   kBadLongestUse,
-  kBadAside,
+  kBadReserve,
   kBadInstances,
   kBadSeat,
   kBadGrant,
--- a/src/budgets/grantor.cpp
+++ b/src/budgets/quota_allocator.cpp
@@ -1,4 +1,4 @@
-#include "budgets/grantor.h"
+#include "budgets/quota_allocator.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -16,21 +16,22 @@
 
 }  // namespace
 
-Grantor::Grantor(Settings settings)
+QuotaAllocator::QuotaAllocator(Settings settings)
     : settings_(std::move(settings)), digest_(Digest(settings_)), books_(settings_.budgets.size()) {}
 
-void Grantor::Handle(Micros now, GrantorEvent event, std::vector<GrantorEffect>* effects) {
+void QuotaAllocator::Handle(Micros now, QuotaAllocatorEvent event,
+                            std::vector<QuotaAllocatorEffect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
   CatchUp();
   std::visit([this](const auto& e) { On(e); }, event);
 }
 
-bool Grantor::Learning(std::size_t budget, Micros now) const {
+bool QuotaAllocator::Learning(std::size_t budget, Micros now) const {
   return !term_ || now < books_[budget].learning_until;
 }
 
-void Grantor::On(const TermBegan& e) {
+void QuotaAllocator::On(const TermBegan& e) {
   // Also where this instance held it before: others may have dealt since.
   term_ = e.term;
   members_.clear();
@@ -53,9 +54,9 @@
   divide_at_ = now_;
 }
 
-void Grantor::On(const TermEnded&) { term_.reset(); }
+void QuotaAllocator::On(const TermEnded&) { term_.reset(); }
 
-void Grantor::CatchUp() {
+void QuotaAllocator::CatchUp() {
   for (std::size_t i = 0; i < books_.size(); ++i) {
     Book& book = books_[i];
     if (const std::uint64_t window = WindowAt(settings_.budgets[i], now_); window != book.window) {
@@ -74,7 +75,7 @@
   }
 }
 
-void Grantor::Count(Book* book, const Key& key, Units share, Micros until) {
+void QuotaAllocator::Count(Book* book, const Key& key, Units share, Micros until) {
   if (const auto found = book->out.find(key); found != book->out.end()) {
     book->sum -= found->second.share;
     book->ends.erase({found->second.until, key});
@@ -88,12 +89,12 @@
     book->ends.insert({until, key});
 }
 
-Units Grantor::OutOf(const Book& book, const Key& key) const {
+Units QuotaAllocator::OutOf(const Book& book, const Key& key) const {
   const auto found = book.out.find(key);
   return found == book.out.end() ? 0 : found->second.share;
 }
 
-void Grantor::BeginLife(const std::string& name, Member* member, const Ask& ask) {
+void QuotaAllocator::BeginLife(const std::string& name, Member* member, const QuotaRequest& ask) {
   if (member->epoch != 0) {
     // A rate ends with the life that had it. Slots may be in use at workers yet, and of an amount all that
     // was granted may have been used.
@@ -111,10 +112,10 @@
   member->epoch = ask.epoch;
   member->lines.resize(books_.size());
   if (ask.digest != digest_)
-    effects_->push_back(GrantorSays{{ErrorCode::kSettingsDiffer, name}});
+    effects_->push_back(QuotaAllocatorFailed{{ErrorCode::kSettingsDiffer, name}});
 }
 
-void Grantor::On(const AskHeard& e) {
+void QuotaAllocator::On(const QuotaRequestReceived& e) {
 #ifdef ALDERSILL_PLANT_ACTS_UNASKED
   const bool holds = term_.has_value();
 #else
@@ -124,7 +125,7 @@
     ++counters_.not_held;
     return;
   }
-  const Ask& ask = e.ask;
+  const QuotaRequest& ask = e.ask;
   Member& member = members_[e.from];
   if (ask.epoch < member.epoch || (ask.epoch == member.epoch && ask.number <= member.number)) {
 #ifndef ALDERSILL_PLANT_BELIEVES_LATE
@@ -135,7 +136,7 @@
   if (ask.epoch != member.epoch)
     BeginLife(e.from, &member, ask), changed_ = true;
   member.number = ask.number;
-  member.heard_at = now_;
+  member.last_seen_at = now_;
   if (ask.digest != digest_ || ask.lines.size() != books_.size()) {
     ++counters_.differ;
     return;
@@ -151,19 +152,20 @@
   }
   if (changed_ && now_ >= divide_at_)
     DivideAll();
-  Answer answer{*term_, ask.epoch, ask.number, settings_.grant, {}};
+  QuotaGrant answer{*term_, ask.epoch, ask.number, settings_.grant, {}};
   const Key key{e.from, ask.epoch};
   for (std::size_t i = 0; i < books_.size(); ++i)
     answer.lines.push_back(Deal(i, key, member, ask.lines[i]));
   ++counters_.answered;
   if (!ask.leaving)
-    effects_->push_back(SendAnswer{e.from, std::move(answer)});
+    effects_->push_back(SendQuotaGrant{e.from, std::move(answer)});
 }
 
-AnswerLine Grantor::Deal(std::size_t i, const Key& key, const Member& member, const AskLine& line) {
+QuotaGrantLine QuotaAllocator::Deal(std::size_t i, const Key& key, const Member& member,
+                                    const QuotaRequestLine& line) {
   const Budget& b = settings_.budgets[i];
   Book& book = books_[i];
-  AnswerLine answer{0, line.window, Learning(i, now_)};
+  QuotaGrantLine answer{0, line.window, Learning(i, now_)};
   if (line.window != book.window)
     return answer;  // of an amount: by clocks that differ, just before or after
   const Units shown_share = std::max<Units>(0, line.share);
@@ -173,9 +175,9 @@
   Units before = 0;
   for (const auto& [name, m] : members_)
     before += &m == &member ? 0 : m.lines[i].target;
-  const Units room = std::max<Units>(0, Dealt(b, settings_.instances) - before - others);
+  const Units room = std::max<Units>(0, Allocatable(b, settings_.instances) - before - others);
 #else
-  const Units room = std::max<Units>(0, Dealt(b, settings_.instances) - (book.sum - OutOf(book, key)));
+  const Units room = std::max<Units>(0, Allocatable(b, settings_.instances) - (book.sum - OutOf(book, key)));
 #endif
   if (!member.leaving)
     answer.share = std::min(answer.renewal ? shown_share : member.lines[i].target, room);
@@ -189,14 +191,14 @@
   return answer;
 }
 
-void Grantor::DivideAll() {
+void QuotaAllocator::DivideAll() {
   changed_ = false;
   divide_at_ = now_ + kDivideEach;
   ++counters_.divided;
   // Who has nothing and was not heard of for long. Not sooner: its number tells its late asks from new ones.
   std::erase_if(members_, [this](const auto& item) {
     const auto& [name, member] = item;
-    if (member.heard_at + 2 * settings_.grant >= now_)
+    if (member.last_seen_at + 2 * settings_.grant >= now_)
       return false;
     return std::all_of(books_.begin(), books_.end(), [key = Key{name, member.epoch}, this](const Book& book) {
       return OutOf(book, key) == 0;
@@ -206,8 +208,8 @@
     DivideOne(i);
 }
 
-void Grantor::DivideOne(std::size_t i) {
-  const Units whole = Dealt(settings_.budgets[i], settings_.instances);
+void QuotaAllocator::DivideOne(std::size_t i) {
+  const Units total = Allocatable(settings_.budgets[i], settings_.instances);
   const Book& book = books_[i];
   std::vector<Claim> claims;
   std::vector<Line*> lines;
@@ -215,7 +217,7 @@
   for (auto& [name, member] : members_) {
     const Units own = OutOf(book, {name, member.epoch});
     gone -= own;
-    const bool lost = member.leaving || member.heard_at + settings_.grant < now_;
+    const bool lost = member.leaving || member.last_seen_at + settings_.grant < now_;
     if (lost) {
       gone += own;
       member.lines[i].target = 0;
@@ -225,7 +227,7 @@
     claims.push_back({static_cast<Units>(wanted + 0.999), member.weight});
     lines.push_back(&member.lines[i]);
   }
-  const Units left = std::max<Units>(0, whole - gone);
+  const Units left = std::max<Units>(0, total - gone);
   const std::vector<Units> shares = Divide(left, left / kFloorsPart, claims);
   // Noise moves nothing: shares stay where they are, unless that does not fit, or leaves something lying.
   Units kept_sum = 0, sum = 0;
--- a/src/budgets/grantor.h
+++ b/src/budgets/quota_allocator.h
@@ -6,8 +6,8 @@
 // A new holder knows nothing of what its predecessors dealt. For as long as any grant may last it renews what
 // is shown, never more; only then does it deal: whatever it has not heard of has ended. An amount that was
 // used does not come back within its window, so there the time without growth is the rest of the window.
-#ifndef ALDERSILL_SRC_BUDGETS_GRANTOR_H_
-#define ALDERSILL_SRC_BUDGETS_GRANTOR_H_
+#ifndef ALDERSILL_SRC_BUDGETS_QUOTA_ALLOCATOR_H_
+#define ALDERSILL_SRC_BUDGETS_QUOTA_ALLOCATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -28,43 +28,43 @@
   std::uint64_t term = 0;
 };
 struct TermEnded {};
-struct AskHeard {
+struct QuotaRequestReceived {
   std::string from;
-  Ask ask;
+  QuotaRequest ask;
   // The lease's own answer (duties::Lease::Holds) with the time as it is now: not what this class remembers.
   std::optional<std::uint64_t> held;
 };
-using GrantorEvent = std::variant<TermBegan, TermEnded, AskHeard>;
+using QuotaAllocatorEvent = std::variant<TermBegan, TermEnded, QuotaRequestReceived>;
 
 // ---- Effects ----
 
-struct SendAnswer {
+struct SendQuotaGrant {
   std::string to;
-  Answer answer;
+  QuotaGrant answer;
 };
-struct GrantorSays {  // once for each life of an instance
+struct QuotaAllocatorFailed {  // once for each life of an instance
   Error error;
 };
-using GrantorEffect = std::variant<SendAnswer, GrantorSays>;
+using QuotaAllocatorEffect = std::variant<SendQuotaGrant, QuotaAllocatorFailed>;
 
-struct GrantorCounters {
+struct QuotaAllocatorCounters {
   std::uint64_t answered = 0, divided = 0;
   std::uint64_t stale = 0;     // asks of earlier lives, doubled or overtaken ones
   std::uint64_t not_held = 0;  // asks to who does not hold the duty
   std::uint64_t differ = 0;    // asks of instances with other settings
 };
 
-class Grantor {
+class QuotaAllocator {
  public:
-  explicit Grantor(Settings settings);
+  explicit QuotaAllocator(Settings settings);
 
-  void Handle(Micros now, GrantorEvent event, std::vector<GrantorEffect>* effects);
+  void Handle(Micros now, QuotaAllocatorEvent event, std::vector<QuotaAllocatorEffect>* effects);
 
   // What counts as out, of what is dealt; and whether this holder still learns what its predecessor dealt.
   Units Out(std::size_t budget) const { return books_[budget].sum; }
   bool Learning(std::size_t budget, Micros now) const;
   std::size_t instances() const { return members_.size(); }
-  const GrantorCounters& counters() const { return counters_; }
+  const QuotaAllocatorCounters& counters() const { return counters_; }
 
  private:
   struct Line {
@@ -73,7 +73,7 @@
   struct Member {
     std::uint64_t epoch = 0, number = 0;
     std::uint32_t weight = 100;
-    Micros heard_at = 0;
+    Micros last_seen_at = 0;
     bool leaving = false;
     std::vector<Line> lines;
   };
@@ -92,27 +92,27 @@
 
   void On(const TermBegan& e);
   void On(const TermEnded&);
-  void On(const AskHeard& e);
+  void On(const QuotaRequestReceived& e);
   void CatchUp();
   void Count(Book* book, const Key& key, Units share, Micros until);
   Units OutOf(const Book& book, const Key& key) const;
-  void BeginLife(const std::string& name, Member* member, const Ask& ask);
+  void BeginLife(const std::string& name, Member* member, const QuotaRequest& ask);
   void DivideAll();
   void DivideOne(std::size_t i);
-  AnswerLine Deal(std::size_t i, const Key& key, const Member& member, const AskLine& line);
+  QuotaGrantLine Deal(std::size_t i, const Key& key, const Member& member, const QuotaRequestLine& line);
 
   const Settings settings_;
   const std::uint64_t digest_;
   Micros now_ = 0;
-  std::vector<GrantorEffect>* effects_ = nullptr;
+  std::vector<QuotaAllocatorEffect>* effects_ = nullptr;
   std::optional<std::uint64_t> term_;
   std::map<std::string, Member> members_;
   std::vector<Book> books_;
   Micros divide_at_ = 0;
   bool changed_ = false;
-  GrantorCounters counters_;
+  QuotaAllocatorCounters counters_;
 };
 
 }  // namespace aldersill::budgets
 
-#endif  // ALDERSILL_SRC_BUDGETS_GRANTOR_H_
+#endif  // ALDERSILL_SRC_BUDGETS_QUOTA_ALLOCATOR_H_
--- a/src/budgets/purse.h
+++ b/src/budgets/quota_client.h
@@ -7,8 +7,8 @@
 //
 // `now` is to be read after the message or the request in hand was taken from its socket, and right before
 // the act.
-#ifndef ALDERSILL_SRC_BUDGETS_PURSE_H_
-#define ALDERSILL_SRC_BUDGETS_PURSE_H_
+#ifndef ALDERSILL_SRC_BUDGETS_QUOTA_CLIENT_H_
+#define ALDERSILL_SRC_BUDGETS_QUOTA_CLIENT_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -24,42 +24,43 @@
 
 // ---- Events ----
 
-struct PurseStarted {};
-struct HolderIs {  // as it says itself; one of an earlier term is not listened to any more
+struct QuotaClientStarted {};
+struct LeaseHolderChanged {  // as it says itself; one of an earlier term is not listened to any more
   std::string name;
   std::uint64_t term = 0;
 };
-struct AnswerHeard {
+struct QuotaGrantReceived {
   std::string from;
-  Answer answer;
+  QuotaGrant answer;
 };
-struct PurseTime {};  // next_due() is reached
-struct GiveBack {};   // for good: nothing is used any more
-using PurseEvent = std::variant<PurseStarted, HolderIs, AnswerHeard, PurseTime, GiveBack>;
+struct QuotaClientTimerExpired {};  // next_due() is reached
+struct ReleaseQuota {};             // for good: nothing is used any more
+using QuotaClientEvent = std::variant<QuotaClientStarted, LeaseHolderChanged, QuotaGrantReceived,
+                                      QuotaClientTimerExpired, ReleaseQuota>;
 
 // ---- Effects ----
 
-struct SendAsk {
+struct SendQuotaRequest {
   std::string to;
-  Ask ask;
+  QuotaRequest ask;
 };
-struct PurseSays {  // once when it begins
+struct QuotaClientFailed {  // once when it begins
   Error error;
 };
-using PurseEffect = std::variant<SendAsk, PurseSays>;
+using QuotaClientEffect = std::variant<SendQuotaRequest, QuotaClientFailed>;
 
-struct PurseCounters {
+struct QuotaClientCounters {
   std::uint64_t asked = 0, answered = 0;
   std::uint64_t stale = 0;    // answers to other than the last ask, or by an earlier term
   std::uint64_t lapsed = 0;   // grants that ended before the next came
   std::uint64_t refused = 0;  // acts
 };
 
-class Purse {
+class QuotaClient {
  public:
-  explicit Purse(Settings settings);
+  explicit QuotaClient(Settings settings);
 
-  void Handle(Micros now, PurseEvent event, std::vector<PurseEffect>* effects);
+  void Handle(Micros now, QuotaClientEvent event, std::vector<QuotaClientEffect>* effects);
   Micros next_due() const;
 
   // Takes `count` starts, slots or units, all or nothing; the reason where it may not. A refused act counts
@@ -74,11 +75,11 @@
   Units Allowed(Micros now, std::string_view budget) const;
   bool Granted(Micros now) const { return now < until_; }
   std::uint64_t term() const { return term_; }
-  const PurseCounters& counters() const { return counters_; }
+  const QuotaClientCounters& counters() const { return counters_; }
   const Settings& settings() const { return settings_; }
 
  private:
-  struct Pocket {
+  struct BudgetState {
     Units share = 0;           // until `until_`
     std::uint64_t window = 0;  // that the share and `used` are of
     std::int64_t used = 0;     // slots now, or units in the window
@@ -87,23 +88,23 @@
     // Demand.
     double offered = 0;  // a second, smoothed
     std::int64_t attempts = 0, refused = 0, waiting = 0, peak = 0;
-    Units told = 0;
+    Units reported = 0;
   };
 
-  void On(const PurseStarted&);
-  void On(const HolderIs& e);
-  void On(const AnswerHeard& e);
-  void On(const PurseTime&);
-  void On(const GiveBack&);
+  void On(const QuotaClientStarted&);
+  void On(const LeaseHolderChanged& e);
+  void On(const QuotaGrantReceived& e);
+  void On(const QuotaClientTimerExpired&);
+  void On(const ReleaseQuota&);
   void CatchUp(Micros now);
-  void Fill(const Budget& b, Pocket* p, Micros now) const;
-  void FillTo(const Budget& b, Pocket* p, Units share, Micros to) const;
+  void Fill(const Budget& b, BudgetState* p, Micros now) const;
+  void FillTo(const Budget& b, BudgetState* p, Units share, Micros to) const;
   double Cap(const Budget& b, Units share) const;
-  Units CarefulNow(const Budget& b, Micros now) const;
-  Units ShareNow(const Pocket& p, Micros now) const { return now < until_ ? p.share : 0; }
-  bool IsNews(const Budget& b, const Pocket& p) const;
+  Units FallbackQuotaNow(const Budget& b, Micros now) const;
+  Units ShareNow(const BudgetState& p, Micros now) const { return now < until_ ? p.share : 0; }
+  bool HasChanged(const Budget& b, const BudgetState& p) const;
   void Measure();
-  Units Demand(const Budget& b, const Pocket& p) const;
+  Units Demand(const Budget& b, const BudgetState& p) const;
   void SendNow();
   void AskSoon() { due_ = std::min(due_, std::max(now_, asked_at_ + (answered_ ? soon_ : retry_))); }
   int Index(std::string_view budget) const;
@@ -114,9 +115,9 @@
   const Micros soon_, retry_, calm_;
   Micros now_ = 0;
   Micros started_at_ = 0;
-  std::vector<PurseEffect>* effects_ = nullptr;
+  std::vector<QuotaClientEffect>* effects_ = nullptr;
   std::string holder_;
-  std::vector<Pocket> pockets_;
+  std::vector<BudgetState> states_;
   Micros until_ = 0;
   bool left_ = false, lapsed_ = true;
   int repeats_ = 2;  // of the word that all was given back, which nobody answers
@@ -124,9 +125,9 @@
   bool answered_ = true;  // the last ask has been
   Micros asked_at_ = 0, measured_at_ = 0;
   Micros due_ = INT64_MAX;
-  PurseCounters counters_;
+  QuotaClientCounters counters_;
 };
 
 }  // namespace aldersill::budgets
 
-#endif  // ALDERSILL_SRC_BUDGETS_PURSE_H_
+#endif  // ALDERSILL_SRC_BUDGETS_QUOTA_CLIENT_H_
--- a/src/budgets/settings.cpp
+++ b/src/budgets/settings.cpp
@@ -19,8 +19,8 @@
   std::set<std::string> names;
   for (const Budget& b : s.budgets) {
     wrong(!names.insert(b.name).second, ErrorCode::kSameName, b.name);
-    wrong(b.whole <= 0, ErrorCode::kBadWhole, b.name + ".whole");
-    wrong(!(b.aside >= 0 && b.aside <= 1), ErrorCode::kBadAside, b.name + ".aside");
+    wrong(b.total <= 0, ErrorCode::kBadTotal, b.name + ".whole");
+    wrong(!(b.reserve >= 0 && b.reserve <= 1), ErrorCode::kBadReserve, b.name + ".aside");
     wrong(b.kind == Kind::kRate && b.burst < s.instances, ErrorCode::kBadBurst, b.name + ".burst");
     wrong(b.kind == Kind::kAmount && b.window <= s.grant, ErrorCode::kBadWindow, b.name + ".window_ms");
     wrong(b.kind == Kind::kLevel && b.longest_use <= 0, ErrorCode::kBadLongestUse,
@@ -34,8 +34,8 @@
                      std::to_string(s.most_drift) + ' ' + std::to_string(s.most_apart);
   for (const Budget& b : s.budgets) {
     text += '\n' + b.name;
-    for (const std::int64_t part : {static_cast<std::int64_t>(b.kind), b.whole, b.burst, b.window,
-                                    b.longest_use, static_cast<std::int64_t>(b.aside * 1e9)})
+    for (const std::int64_t part : {static_cast<std::int64_t>(b.kind), b.total, b.burst, b.window,
+                                    b.longest_use, static_cast<std::int64_t>(b.reserve * 1e9)})
       text += ' ' + std::to_string(part);
   }
   return XXH3_64bits(text.data(), text.size());
--- a/src/budgets/types.h
+++ b/src/budgets/types.h
@@ -24,11 +24,11 @@
 struct Budget {
   std::string name;
   Kind kind = Kind::kRate;
-  Units whole = 0;
+  Units total = 0;
   std::int64_t burst = 0;  // rate: starts at once beyond it; at least one for each seat
   Micros window = 0;       // amount: windows begin at whole multiples of it in Unix time
   Micros longest_use = 0;  // level: no slot is in use for longer
-  double aside = 0.02;     // this part of the whole is kept for the seats' careful shares
+  double reserve = 0.02;   // this part of the whole is kept for the seats' careful shares
   bool operator==(const Budget&) const = default;
 };
 
@@ -49,45 +49,47 @@
 // Of what must be the same at all instances.
 std::uint64_t Digest(const Settings& settings);
 
-inline Units Careful(const Budget& b, int instances) {
-  return static_cast<Units>(static_cast<double>(b.whole) * b.aside / instances);
+inline Units FallbackQuota(const Budget& b, int instances) {
+  return static_cast<Units>(static_cast<double>(b.total) * b.reserve / instances);
 }
 // What the holder deals: the whole without all that is kept aside.
-inline Units Dealt(const Budget& b, int instances) { return b.whole - Careful(b, instances) * instances; }
+inline Units Allocatable(const Budget& b, int instances) {
+  return b.total - FallbackQuota(b, instances) * instances;
+}
 inline std::uint64_t WindowAt(const Budget& b, Micros now) {
   return b.kind == Kind::kAmount ? static_cast<std::uint64_t>(now / b.window) : 0;
 }
 
 // ---- Messages ----
 
-struct AskLine {     // of one budget
-  Units demand = 0;  // offered, not served
-  Units share = 0;   // granted and not ended
-  Units beyond = 0;  // in use (level) or used in the window (amount), without the careful share
+struct QuotaRequestLine {  // of one budget
+  Units demand = 0;        // offered, not served
+  Units share = 0;         // granted and not ended
+  Units beyond = 0;        // in use (level) or used in the window (amount), without the careful share
   std::uint64_t window = 0;
 };
 // An instance shows what it has and says what it wants. From then on only the answer to this very ask changes
 // what it has; so whoever hears an ask late, or twice, can do no harm by answering.
-struct Ask {
+struct QuotaRequest {
   std::uint64_t epoch = 0;
   std::uint64_t number = 0;
   std::uint64_t digest = 0;
   std::uint32_t weight = 100;
   bool leaving = false;
-  std::vector<AskLine> lines;  // in the order of the settings
+  std::vector<QuotaRequestLine> lines;  // in the order of the settings
 };
-struct AnswerLine {
+struct QuotaGrantLine {
   Units share = 0;
   std::uint64_t window = 0;
   // Given by a holder that does not know yet what its predecessor dealt: good only while what was shown is.
   bool renewal = false;
 };
-struct Answer {
+struct QuotaGrant {
   std::uint64_t term = 0;
   std::uint64_t epoch = 0;
   std::uint64_t number = 0;  // of the ask
   Micros lasts = 0;          // from the ask's sending, by the asker's clock
-  std::vector<AnswerLine> lines;
+  std::vector<QuotaGrantLine> lines;
 };
 
 }  // namespace aldersill::budgets
--- a/tools/virtual_budgets/budget_table.cpp
+++ b/tools/virtual_budgets/budget_table.cpp
@@ -81,7 +81,8 @@
   double Allowed(int i) const {
     if (!world.Runs(i) || world.Stands(i))
       return 0;
-    return static_cast<double>(world.purse(i).Allowed(world.LocalTime(i), "mail")) / budgets::kUnitsAStart;
+    return static_cast<double>(world.quota_client(i).Allowed(world.LocalTime(i), "mail")) /
+           budgets::kUnitsAStart;
   }
   double AllAllowed() const {
     double sum = 0;
@@ -165,7 +166,7 @@
            at += 30 * kSecond) {
         churn.world.At(at, [&, i] {
           if (i % 10 == 4)
-            churn.world.GiveBack(i);
+            churn.world.ReleaseQuota(i);
         });
         churn.world.At(at + 50 * kMillisecond, [&, i] { churn.world.Kill(i); });
         churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Begin(i); });
@@ -189,7 +190,7 @@
           continue;
         --left;
         if (gives_back)
-          go.world.GiveBack(i);
+          go.world.ReleaseQuota(i);
         go.world.At(go.world.now() + 50 * kMillisecond, [&, i] { go.world.Kill(i); });
       }
       go.Run(60 * kMillisecond);
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -47,9 +47,9 @@
       lease.voters.push_back(name(v));
     instance.lease = std::make_unique<duties::Lease>(std::move(lease), seed);
   }
-  instance.grantor = std::make_unique<budgets::Grantor>(s);
-  instance.purse = std::make_unique<budgets::Purse>(std::move(s));
-  ToPurse(i, budgets::PurseStarted{});
+  instance.quota_allocator = std::make_unique<budgets::QuotaAllocator>(s);
+  instance.quota_client = std::make_unique<budgets::QuotaClient>(std::move(s));
+  ToQuotaClient(i, budgets::QuotaClientStarted{});
   if (instance.lease)
     ToLease(i, duties::LeaseStarted{});
   Push(now_ + kAnnounceEach, i, Announce{});
@@ -57,7 +57,7 @@
 
 void VirtualBudgets::Kill(int i) {
   Instance& instance = instances_[i];
-  instance.lease.reset(), instance.purse.reset(), instance.grantor.reset();
+  instance.lease.reset(), instance.quota_client.reset(), instance.quota_allocator.reset();
   ++instance.life;
   instance.paused = false;
   instance.held.clear();
@@ -73,7 +73,7 @@
     if ((turn == 0) == timers_first) {
       if (instance.lease)
         ToLease(i, duties::LeaseTime{});
-      ToPurse(i, budgets::PurseTime{});
+      ToQuotaClient(i, budgets::QuotaClientTimerExpired{});
       Push(now_, i, Announce{});
     } else {
       for (auto held = std::exchange(instance.held, {}); !held.empty(); held.pop_front())
@@ -82,7 +82,7 @@
   }
 }
 
-void VirtualBudgets::GiveBack(int i) { ToPurse(i, budgets::GiveBack{}); }
+void VirtualBudgets::ReleaseQuota(int i) { ToQuotaClient(i, budgets::ReleaseQuota{}); }
 
 void VirtualBudgets::Split(const std::set<int>& side) {
   for (int a = 0; a < size(); ++a) {
@@ -112,7 +112,7 @@
       continue;
     }
     Instance& instance = instances_[item.instance];
-    if (!instance.purse)
+    if (!instance.quota_client)
       continue;
     // A packet finds whoever listens there now; all else is of the life that set it.
     if (instance.life != item.life && !std::holds_alternative<Arrives>(*item.what))
@@ -137,11 +137,11 @@
     instance.rings = 0;
     if (instance.lease && instance.lease->next_due() <= LocalTime(i))
       ToLease(i, duties::LeaseTime{});
-    ToPurse(i, budgets::PurseTime{});
+    ToQuotaClient(i, budgets::QuotaClientTimerExpired{});
   } else if (const auto* arrives = std::get_if<Arrives>(&what)) {
     Hear(i, *arrives);
   } else if (const auto* freed = std::get_if<Freed>(&what)) {
-    instance.purse->Free(LocalTime(i), o_.settings.budgets[freed->budget].name, freed->count);
+    instance.quota_client->Free(LocalTime(i), o_.settings.budgets[freed->budget].name, freed->count);
     SetTimer(i);
   } else {
     const auto term = instance.lease ? instance.lease->Holds(LocalTime(i)) : std::nullopt;
@@ -155,15 +155,17 @@
   if (const auto* lease = std::get_if<duties::LeaseMessage>(&arrives.message)) {
     if (instances_[i].lease)
       ToLease(i, duties::LeaseMessageReceived{name(arrives.from), *lease});
-  } else if (const auto* ask = std::get_if<budgets::Ask>(&arrives.message)) {
+  } else if (const auto* ask = std::get_if<budgets::QuotaRequest>(&arrives.message)) {
     const auto& own = instances_[i].lease;
-    ToGrantor(i, budgets::AskHeard{name(arrives.from), *ask, own ? own->Holds(LocalTime(i)) : std::nullopt});
-  } else if (const auto* answer = std::get_if<budgets::Answer>(&arrives.message)) {
-    ToPurse(i, budgets::AnswerHeard{name(arrives.from), *answer});
+    ToQuotaAllocator(i, budgets::QuotaRequestReceived{name(arrives.from), *ask,
+                                                      own ? own->Holds(LocalTime(i)) : std::nullopt});
+  } else if (const auto* answer = std::get_if<budgets::QuotaGrant>(&arrives.message)) {
+    ToQuotaClient(i, budgets::QuotaGrantReceived{name(arrives.from), *answer});
     if (on_answer)
       on_answer(i);
   } else {
-    ToPurse(i, budgets::HolderIs{name(arrives.from), std::get<HoldsNow>(arrives.message).term});
+    ToQuotaClient(i,
+                  budgets::LeaseHolderChanged{name(arrives.from), std::get<HoldsNow>(arrives.message).term});
   }
 }
 
@@ -181,50 +183,50 @@
     if (auto* send = std::get_if<duties::SendTo>(&effect)) {
       Send(i, Number(send->to), std::move(send->message));
     } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
-      ToGrantor(i, budgets::TermBegan{taken->term});
+      ToQuotaAllocator(i, budgets::TermBegan{taken->term});
       BroadcastResult(i, taken->term);
     } else {
-      ToGrantor(i, budgets::TermEnded{});
+      ToQuotaAllocator(i, budgets::TermEnded{});
     }
   }
   SetTimer(i);
 }
 
-void VirtualBudgets::ToPurse(int i, budgets::PurseEvent event) {
-  std::vector<budgets::PurseEffect> effects;
-  instances_[i].purse->Handle(LocalTime(i), std::move(event), &effects);
-  for (budgets::PurseEffect& effect : effects) {
-    if (auto* send = std::get_if<budgets::SendAsk>(&effect)) {
+void VirtualBudgets::ToQuotaClient(int i, budgets::QuotaClientEvent event) {
+  std::vector<budgets::QuotaClientEffect> effects;
+  instances_[i].quota_client->Handle(LocalTime(i), std::move(event), &effects);
+  for (budgets::QuotaClientEffect& effect : effects) {
+    if (auto* send = std::get_if<budgets::SendQuotaRequest>(&effect)) {
       if (!on_ask || on_ask(i, Number(send->to), send->ask))
         Send(i, Number(send->to), std::move(send->ask));
     } else if (on_error) {
-      on_error(i, std::get<budgets::PurseSays>(effect).error);
+      on_error(i, std::get<budgets::QuotaClientFailed>(effect).error);
     }
   }
   SetTimer(i);
 }
 
-void VirtualBudgets::ToGrantor(int i, budgets::GrantorEvent event) {
-  std::vector<budgets::GrantorEffect> effects;
-  const bool ask = std::holds_alternative<budgets::AskHeard>(event);
+void VirtualBudgets::ToQuotaAllocator(int i, budgets::QuotaAllocatorEvent event) {
+  std::vector<budgets::QuotaAllocatorEffect> effects;
+  const bool ask = std::holds_alternative<budgets::QuotaRequestReceived>(event);
   const auto before = std::chrono::steady_clock::now();
-  instances_[i].grantor->Handle(LocalTime(i), std::move(event), &effects);
+  instances_[i].quota_allocator->Handle(LocalTime(i), std::move(event), &effects);
   if (ask) {
     grantor_seconds += std::chrono::duration<double>(std::chrono::steady_clock::now() - before).count();
     ++grantor_asks;
   }
-  for (budgets::GrantorEffect& effect : effects) {
-    if (auto* send = std::get_if<budgets::SendAnswer>(&effect)) {
+  for (budgets::QuotaAllocatorEffect& effect : effects) {
+    if (auto* send = std::get_if<budgets::SendQuotaGrant>(&effect)) {
       Send(i, Number(send->to), std::move(send->answer));
     } else if (on_error) {
-      on_error(i, std::get<budgets::GrantorSays>(effect).error);
+      on_error(i, std::get<budgets::QuotaAllocatorFailed>(effect).error);
     }
   }
 }
 
 template <typename M>
 void VirtualBudgets::Send(int from, int to, M message) {
-  if constexpr (std::is_same_v<M, budgets::Ask> || std::is_same_v<M, budgets::Answer>) {
+  if constexpr (std::is_same_v<M, budgets::QuotaRequest> || std::is_same_v<M, budgets::QuotaGrant>) {
     ++packets;
     if (o_.count_bytes)
       bytes += budgets::Encode(message).size();
@@ -245,7 +247,7 @@
 
 void VirtualBudgets::SetTimer(int i) {
   Instance& instance = instances_[i];
-  Micros due = instance.purse->next_due();
+  Micros due = instance.quota_client->next_due();
   if (instance.lease)
     due = std::min(due, instance.lease->next_due());
   if (due == INT64_MAX)
@@ -270,7 +272,7 @@
 bool VirtualBudgets::Take(int i, std::size_t budget, std::int64_t count) {
   if (!Runs(i) || Stands(i))
     return false;
-  const bool may = !instances_[i].purse->Take(LocalTime(i), o_.settings.budgets[budget].name, count);
+  const bool may = !instances_[i].quota_client->Take(LocalTime(i), o_.settings.budgets[budget].name, count);
   SetTimer(i);
   return may;
 }
@@ -283,7 +285,7 @@
 void VirtualBudgets::Waiting(int i, std::size_t budget, std::int64_t count) {
   if (!Runs(i) || Stands(i))
     return;
-  instances_[i].purse->Waiting(LocalTime(i), o_.settings.budgets[budget].name, count);
+  instances_[i].quota_client->Waiting(LocalTime(i), o_.settings.budgets[budget].name, count);
   SetTimer(i);
 }
 
--- a/tools/virtual_budgets/virtual_budgets.h
+++ b/tools/virtual_budgets/virtual_budgets.h
@@ -19,8 +19,8 @@
 #include <variant>
 #include <vector>
 
-#include "budgets/grantor.h"
-#include "budgets/purse.h"
+#include "budgets/quota_allocator.h"
+#include "budgets/quota_client.h"
 #include "duties/lease.h"
 
 namespace aldersill::tools {
@@ -58,8 +58,8 @@
   void Kill(int i);
   void Pause(int i) { instances_[i].paused = Runs(i); }
   void Resume(int i);
-  void GiveBack(int i);
-  bool Runs(int i) const { return instances_[i].purse != nullptr; }
+  void ReleaseQuota(int i);
+  bool Runs(int i) const { return instances_[i].quota_client != nullptr; }
   bool Stands(int i) const { return instances_[i].paused; }
   void Cut(int from, int to) { cuts_.insert({from, to}); }
   void Split(const std::set<int>& side);
@@ -74,8 +74,8 @@
   void Free(int i, std::size_t budget, int life, std::int64_t count = 1);
   void Waiting(int i, std::size_t budget, std::int64_t count);
 
-  const budgets::Purse& purse(int i) const { return *instances_[i].purse; }
-  const budgets::Grantor& grantor(int i) const { return *instances_[i].grantor; }
+  const budgets::QuotaClient& quota_client(int i) const { return *instances_[i].quota_client; }
+  const budgets::QuotaAllocator& quota_allocator(int i) const { return *instances_[i].quota_allocator; }
   int life(int i) const { return instances_[i].life; }
   std::optional<int> Holder() const;  // by its own clock
   pcg32& random() { return random_; }
@@ -84,7 +84,7 @@
   std::function<void(int)> on_answer;  // an instance was granted anew
   std::function<void(int, const budgets::Error&)> on_error;
   // Takes part in what is sent: return false to lose it.
-  std::function<bool(int, int, const budgets::Ask&)> on_ask;
+  std::function<bool(int, int, const budgets::QuotaRequest&)> on_ask;
 
   std::uint64_t packets = 0, bytes = 0;
   // What the grantors' own work took of real time, and how many asks that was.
@@ -101,7 +101,7 @@
   struct Announce {};
   struct Arrives {
     int from = 0;
-    std::variant<duties::LeaseMessage, budgets::Ask, budgets::Answer, HoldsNow> message;
+    std::variant<duties::LeaseMessage, budgets::QuotaRequest, budgets::QuotaGrant, HoldsNow> message;
   };
   struct Freed {
     std::size_t budget = 0;
@@ -121,8 +121,8 @@
   };
   struct Instance {
     std::unique_ptr<duties::Lease> lease;
-    std::unique_ptr<budgets::Purse> purse;
-    std::unique_ptr<budgets::Grantor> grantor;
+    std::unique_ptr<budgets::QuotaClient> quota_client;
+    std::unique_ptr<budgets::QuotaAllocator> quota_allocator;
     int life = 0, seat = 0;
     bool paused = false;
     std::deque<std::shared_ptr<const What>> held;
@@ -137,8 +137,8 @@
   void Deliver(int i, const What& what);
   void Hear(int i, const Arrives& arrives);
   void ToLease(int i, duties::LeaseEvent event);
-  void ToPurse(int i, budgets::PurseEvent event);
-  void ToGrantor(int i, budgets::GrantorEvent event);
+  void ToQuotaClient(int i, budgets::QuotaClientEvent event);
+  void ToQuotaAllocator(int i, budgets::QuotaAllocatorEvent event);
   template <typename M>
   void Send(int from, int to, M message);
   void BroadcastResult(int i, std::uint64_t term);
