--- a/tests/budgets/budgets_test.cpp
+++ b/tests/budgets/budgets_test.cpp
@@ -1,5 +1,4 @@
 // Budgets: the pure parts case by case, and the hard cases of a fleet, each judged in true time.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <numeric>
--- a/tests/cluster/duties_test.cpp
+++ b/tests/cluster/duties_test.cpp
@@ -1,5 +1,4 @@
 // The duties' pure cores, case by case: who owns what, results and their order, leases.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <cmath>
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,6 +1,5 @@
 // Membership's pure core, its codec and its seal, case by case. What many instances do together is looked for
 // by search.cpp.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "membership/membership.h"
 
 #include <doctest/doctest.h>
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -1,6 +1,5 @@
 // The operators' address: what its lines mean, what the figures say, and the started daemon as its callers
 // see it.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
--- a/tests/daemon/attempt_crossings_test.cpp
+++ b/tests/daemon/attempt_crossings_test.cpp
@@ -1,7 +1,6 @@
 // Moments in the life of an execution that seldom meet: a connection that comes up late, after its client has
 // left, its time is over, its window has ended, or the program has been told to end. A listener whose backlog
 // is full has the kernel drop the daemon's SYN; it comes again after a second, and by then there is room.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/socket.h>
--- a/tests/daemon/call_pacing_test.cpp
+++ b/tests/daemon/call_pacing_test.cpp
@@ -1,5 +1,4 @@
 // Many dispatchers, each with a pacing of its own, against one modelled discovery in virtual time.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "http/call_pacing.h"
 
 #include <doctest/doctest.h>
--- a/tests/daemon/client_crossings_test.cpp
+++ b/tests/daemon/client_crossings_test.cpp
@@ -1,7 +1,6 @@
 // Service clients' connections in narrow moments: what comes, ends or is reset just while the daemon holds,
 // answers, closes or is told to end. Each crossing is forced over loopback, with a worker that answers only
 // when the test wants it to.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/resource.h>
--- a/tests/daemon/cluster_test.cpp
+++ b/tests/daemon/cluster_test.cpp
@@ -1,7 +1,6 @@
 // Three daemons that know one another over a relay that can drop: how often each worker is probed, what
 // happens when one is killed, stands still, is cut off or is restarted in its turn. CI runs it with two
 // kills; ALDERSILL_KILLS=20 makes the measurement of docs/duties.md.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <sys/socket.h>
--- a/tests/daemon/core_test.cpp
+++ b/tests/daemon/core_test.cpp
@@ -1,5 +1,4 @@
 // The reducer without sockets: events at given times, and the effects it asks for.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <algorithm>
--- a/tests/daemon/discovery_clock_test.cpp
+++ b/tests/daemon/discovery_clock_test.cpp
@@ -2,7 +2,6 @@
 // answers with errors, breaks off, falls silent, moves, or is an agent: is the list ever acted on after a
 // change that is not in it counts as told, and how long until each has the list again? The figures are the
 // table of docs/scale.md (run with -s to print them).
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "http/discovery_clock.h"
 
 #include <doctest/doctest.h>
--- a/tests/daemon/discovery_crossings_test.cpp
+++ b/tests/daemon/discovery_crossings_test.cpp
@@ -1,6 +1,5 @@
 // Discovery's calls over loopback, against one that fails at the wrong moment: what counts is until when the
 // list may be acted on, and what of a list is taken.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
--- a/tests/daemon/lifecycle_test.cpp
+++ b/tests/daemon/lifecycle_test.cpp
@@ -1,5 +1,4 @@
 // Start and end of the program, and what it is told meanwhile: bad configurations, SIGTERM, SIGHUP.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -1,6 +1,5 @@
 // The same small plan of jobs over both frontends, with the same troubles: the service figure must be the
 // same, and what the rules ask is checked from outside, on what clients got and workers ran.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <chrono>
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -1,5 +1,4 @@
 // The operator's file and the command line: what is read, what is refused and how it is told.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <stdlib.h>
 #include <sys/wait.h>
--- a/tests/daemon/snmp_test.cpp
+++ b/tests/daemon/snmp_test.cpp
@@ -1,5 +1,4 @@
 // The agent of the started program, asked over UDP.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <sstream>
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -1,6 +1,5 @@
 // Upgrades: what two processes of one dispatcher share, without sockets, and two started daemons on one
 // endpoint.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
--- a/tests/daemon/worker_client_test.cpp
+++ b/tests/daemon/worker_client_test.cpp
@@ -1,6 +1,5 @@
 // What the core may go by when news comes between two callbacks of one turn of the event loop: an execution
 // told as handed over may run, any other never ran and may go elsewhere.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "http/worker_client.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet/checker_test.cpp
+++ b/tests/fleet/checker_test.cpp
@@ -1,6 +1,5 @@
 // The checker finds each broken rule in a record that is otherwise good, and timetables come back from YAML
 // as they were.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "fleet/checker.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet_table/totals_test.cpp
+++ b/tests/fleet_table/totals_test.cpp
@@ -1,5 +1,4 @@
 // The fleet's table from a small recorded run of two dispatchers: one restarts, one writes JSON.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "fleet_table/totals.h"
 
 #include <doctest/doctest.h>
