--- a/tests/run.sh
+++ b/tests/run.sh
@@ -12,6 +12,7 @@
   sanitize=OFF
   [[ $mode == sanitize ]] && sanitize=ON
   cmake -S . -B "build-$mode" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DALDERSILL_TESTS=ON -DALDERSILL_SANITIZE=$sanitize \
+    -DCMAKE_CXX_FLAGS_RELWITHDEBINFO="-O2 -g1 -DNDEBUG" \
     "${launcher[@]}"
   cmake --build "build-$mode" -j"$(nproc)"
 done
