--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -93,8 +93,8 @@
   if (arrived.empty())
     return;
   Arrived& a = arrived.mapped();
-  workers_->Resume(resume.attempt, resume.job,
-                   {a.worker_fd, std::move(a.running.address), std::move(a.running.received)});
+  workers_->ReceiveTransfer(resume.attempt, resume.job,
+                            {a.worker_fd, std::move(a.running.address), std::move(a.running.received)});
 }
 
 }  // namespace aldersill
--- a/src/daemon/platform_component.cpp
+++ b/src/daemon/platform_component.cpp
@@ -6,7 +6,7 @@
 #include "core/readiness.h"
 #include "daemon/components.h"
 #include "daemon/job_transfer.h"
-#include "http/discovery.h"
+#include "http/discovery_client.h"
 #include "http/frontend.h"
 #include "http/worker_client.h"
 #include "log/log.h"
@@ -21,12 +21,12 @@
 HttpFrontendSettings ForClients(const Config& c) {
   HttpFrontendSettings s;
   for (const auto& job_class : c.module.classes) {
-    s.keyed[job_class.name] = job_class.repeat == dispatch::Repeat::kKeyed;
+    s.requires_idempotency_key[job_class.name] = job_class.repeat == dispatch::Repeat::kKeyed;
     s.longest_deadline = std::max(s.longest_deadline, job_class.deadline);
   }
-  s.most_connections = static_cast<std::size_t>(DescriptorShares(c).clients);
-  s.shares_endpoint = c.mgmt.has_value();
-  s.most_bytes = (static_cast<std::size_t>(c.memory_mb) << 20) / 8;
+  s.max_connections = static_cast<std::size_t>(DescriptorShares(c).clients);
+  s.shared_endpoint = c.mgmt.has_value();
+  s.max_unfinished_bytes = (static_cast<std::size_t>(c.memory_mb) << 20) / 8;
   return s;
 }
 
@@ -35,7 +35,7 @@
 // last call.
 constexpr Micros kMovedHold = 4 * kSecond;
 Micros MovedHold(const Config& c) {
-  return c.module.subscribe ? c.module.must_ask_in - DiscoveryClock::kWait : kMovedHold;
+  return c.module.subscribe ? c.module.must_ask_in - WatchScheduler::kLongPollWait : kMovedHold;
 }
 
 // The remembered list is at least as young as the last start that it tells, whenever it was held.
@@ -48,10 +48,10 @@
   return at;
 }
 
-DiscoveryClock Clock(const Config& c) {
-  using Kind = DiscoveryClock::Kind;
-  return {{c.module.subscribe ? Kind::kAsked : Kind::kPushed, c.module.must_ask_in, c.module.drain_grace},
-          CallPacing(c.module.nodes, c.module.must_ask_in / 2, c.seed)};
+WatchScheduler Clock(const Config& c) {
+  using Kind = WatchScheduler::Kind;
+  return {{c.module.subscribe ? Kind::kPolled : Kind::kPushed, c.module.must_ask_in, c.module.drain_grace},
+          PollBackoff(c.module.nodes, c.module.must_ask_in / 2, c.seed)};
 }
 
 class PlatformComponent : public Component, public AttemptTransport, public ResponseSink {
@@ -62,11 +62,11 @@
     workers_ = std::make_unique<WorkerClient>(context_.base, c.dial_timeout, DescriptorShares(c).workers,
                                               context_.sink);
     if (c.discovery)
-      discovery_ = std::make_unique<Discovery>(context_.base, *c.discovery, c.known_version, ClockAtStart(c),
-                                               context_.sink);
+      discovery_ = std::make_unique<DiscoveryClient>(context_.base, *c.discovery, c.known_version,
+                                                     ClockAtStart(c), context_.sink);
     // Where lists are pushed the module does not ask, and what the agent has counts as told from the start.
     if (discovery_ != nullptr && !c.module.subscribe)
-      discovery_->Watch();
+      discovery_->StartWatching();
     clients_ = std::make_unique<HttpFrontend>(context_.base, c.listen, ForClients(c), context_.sink,
                                               [this] { return Ready(); });
     limits_ = LimitsOf(c);
@@ -89,7 +89,7 @@
     registry.response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kHttp)] = this;
     registry.watch_endpoint_list = [this] {
       if (discovery_ != nullptr)
-        discovery_->Watch();
+        discovery_->StartWatching();
     };
     registry.why_not_ready = [this] { return WhyNotReady(); };
     registry.probe = [this](const ProbeWorker& probe) { workers_->Probe(probe); };
@@ -107,11 +107,11 @@
   void Send(const SendAttempt& e) override { workers_->Send(e); }
   void Stop(AttemptId attempt) override { workers_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { clients_->Reply(client, answer); }
-  bool HasLeft(std::uint64_t client) const override { return clients_->HasLeft(client); }
+  bool HasLeft(std::uint64_t client) const override { return clients_->ClientDisconnected(client); }
 
   void PrepareReload(const Config& next) override {
     if (!(next.listen == listen_))
-      response_sink_ = clients_->Open(next.listen);
+      response_sink_ = clients_->CreateListener(next.listen);
   }
   void CancelReload() override { response_sink_.reset(); }
   void ApplyReload(const Config& c) override {
@@ -130,38 +130,40 @@
       return context_.sink->Post(EndpointListLease{EndpointListLease::kForEver});
     }
     // Its versions are its own: the whole list first, and until then the workers that are known serve on.
-    DiscoveryClock clock = Clock(c);
-    clock.Begin(SteadyNow(), MovedHold(c));
-    discovery_ = std::make_unique<Discovery>(context_.base, *c.discovery, std::nullopt, std::move(clock),
-                                             context_.sink, std::move(discovery_));
-    discovery_->Watch();
+    WatchScheduler clock = Clock(c);
+    clock.Start(SteadyNow(), MovedHold(c));
+    discovery_ = std::make_unique<DiscoveryClient>(context_.base, *c.discovery, std::nullopt,
+                                                   std::move(clock), context_.sink, std::move(discovery_));
+    discovery_->StartWatching();
   }
 
   void BeginDrain() override {
-    clients_->BeginDrain();
+    clients_->StartDraining();
     const upgrade::OtherProcesses others = context_.registry->processes_listening();
     context_.registry->set_listening(false);
     // They are numbered as they came; newcomers go to the newest of the others.
-    if (others.count() > 0 && clients_->Listens())
+    if (others.count() > 0 && clients_->listening())
       clients_->RouteNewConnectionsTo(
           static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1));
     if (others.count() > 0)
       transfer_->SendTo(context_.registry->other_job_socket());
   }
-  bool Quiet() const override { return clients_->Quiet() && clients_->SinceLastAccept() >= kQuietFor; }
+  bool Quiet() const override {
+    return clients_->IsDrained() && clients_->TimeSinceLastAccept() >= kQuietFor;
+  }
 
  private:
   const ComponentContext context_;
-  DiscoveryClock ClockAtStart(const Config& c) const {
+  WatchScheduler ClockAtStart(const Config& c) const {
     const Micros now = context_.now(), steady = SteadyNow();
-    DiscoveryClock clock = Clock(c);
-    clock.BeginRemembered(steady, steady - (now - RememberedAt(c.known, now)));
+    WatchScheduler clock = Clock(c);
+    clock.StartWithCachedList(steady, steady - (now - RememberedAt(c.known, now)));
     return clock;
   }
   std::string WhyNotReady() {
     if (!Ready())
       return "no worker list yet";
-    return clients_->Listens() ? "" : "takes no new clients";
+    return clients_->listening() ? "" : "takes no new clients";
   }
   // What the dispatcher may hold, over all its processes.
   struct Limits {
@@ -174,7 +176,7 @@
   }
   void ApplyLimits(EventPtr<evconnlistener> listener) {
     HttpFrontendSettings clients = limits_.clients;
-    clients.most_connections /= static_cast<std::size_t>(processes_);
+    clients.max_connections /= static_cast<std::size_t>(processes_);
     clients_->ApplySettings(std::move(clients), std::move(listener));
     workers_->ApplySettings(limits_.dial_timeout, limits_.workers / processes_);
   }
@@ -190,7 +192,7 @@
     }
   }
   void Listen() {
-    clients_->Listen();
+    clients_->StartListening();
     context_.registry->set_listening(true);
   }
   void ListenOnceReady() {
@@ -205,7 +207,7 @@
   Limits limits_;
   int processes_ = 1;
   std::unique_ptr<WorkerClient> workers_;
-  std::unique_ptr<Discovery> discovery_;
+  std::unique_ptr<DiscoveryClient> discovery_;
   std::unique_ptr<HttpFrontend> clients_;
   std::unique_ptr<JobTransfer> transfer_;
   Endpoint listen_;
--- a/src/http/discovery.cpp
+++ b/src/http/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "http/discovery.h"
+#include "http/discovery_client.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-Discovery::Discovery(event_base* base, const Endpoint& endpoint, std::optional<std::uint64_t> known_version,
-                     DiscoveryClock clock, EventSink* sink, std::unique_ptr<Discovery> left)
+DiscoveryClient::DiscoveryClient(event_base* base, const Endpoint& endpoint,
+                                 std::optional<std::uint64_t> known_version, WatchScheduler clock,
+                                 EventSink* sink, std::unique_ptr<DiscoveryClient> left)
     : base_(base),
       endpoint_(endpoint),
       sink_(sink),
@@ -28,7 +29,7 @@
       probe_(base, endpoint, [this](bool refused) { Probed(refused); }),
       version_(known_version) {
   if (left != nullptr)
-    clock_.Succeed(left->clock_);
+    clock_.ContinueFrom(left->clock_);
   // One that has told nothing yet leaves the word to the one before it.
   if (left != nullptr)
     before_ = left->continuing_ ? std::move(left) : std::move(left->before_);
@@ -41,33 +42,33 @@
   next_probe_ = std::make_unique<Timer>(base_, [this] { probe_.Start(); });
   Schedule();
 }
-Discovery::~Discovery() {
+DiscoveryClient::~DiscoveryClient() {
   // Freeing the connection must not tell of the end of a call that nobody waits for any more.
   for (Line& line : lines_)
     Cancel(&line);
 }
 
-void Discovery::Leave(Discovery* after) {
+void DiscoveryClient::Leave(DiscoveryClient* after) {
   left_ = true;
   after_ = after;
   before_.reset();
   Schedule();
 }
 
-void Discovery::Watch() {
+void DiscoveryClient::StartWatching() {
   if (!std::exchange(watching_, true))
     Schedule();
 }
 
-void Discovery::Schedule() {
+void DiscoveryClient::Schedule() {
   const Micros now = SteadyNow();
   // One that was left lives while its calls are answered: renewed at once, never repeated.
-  const bool renew = clock_.next_wait() > 0;
+  const bool renew = clock_.next_poll_wait() > 0;
   next_->Clear();
-  if (watching_ && (!left_ || renew) && clock_.next_call() != DiscoveryClock::kNever)
-    next_->Set(std::max<Micros>(0, clock_.next_call() - now));
+  if (watching_ && (!left_ || renew) && clock_.next_poll() != WatchScheduler::kNever)
+    next_->Set(std::max<Micros>(0, clock_.next_poll() - now));
   next_probe_->Clear();
-  if (left_ || clock_.next_probe() == DiscoveryClock::kNever) {
+  if (left_ || clock_.next_probe() == WatchScheduler::kNever) {
     probe_.Close();  // what it would find out is of no use any more
   } else if (!probe_.under_way()) {
     next_probe_->Set(std::max<Micros>(0, clock_.next_probe() - now));
@@ -76,7 +77,7 @@
     sink_->Post(EndpointListLease{clock_.valid_until() - now});
 }
 
-void Discovery::Probed(bool refused) {
+void DiscoveryClient::Probed(bool refused) {
   const Micros now = SteadyNow();
   // Those that follow tell nothing new.
   if (refused)
@@ -84,20 +85,20 @@
         {{"good_ms", (clock_.valid_until() - now) / kMillisecond}});
   else if (std::exchange(refused_, false))
     Log(LogLevel::kInfo, "discovery_back");
-  refused ? clock_.Refused(now) : clock_.MayBeReached(now);
+  refused ? clock_.ProbeRefused(now) : clock_.ProbeNotRefused(now);
   Schedule();
 }
 
-bool Discovery::AnyOut() const {
+bool DiscoveryClient::AnyOut() const {
   return std::any_of(lines_.begin(), lines_.end(), [](const Line& line) { return line.out != nullptr; });
 }
 
-void Discovery::Cancel(Line* line) {
+void DiscoveryClient::Cancel(Line* line) {
   if (line->out != nullptr)
     evhttp_cancel_request(std::exchange(line->out, nullptr));
 }
 
-void Discovery::Call() {
+void DiscoveryClient::Call() {
   const Micros now = SteadyNow();
   Line* line = last_;
   for (Line& other : lines_) {
@@ -115,8 +116,8 @@
         {{"wait_ms", slow.called_wait / kMillisecond}, {"took_ms", (now - slow.called_at) / kMillisecond}});
   }
   Cancel(line);
-  const Micros wait = clock_.next_wait();
-  clock_.Called(now);
+  const Micros wait = clock_.next_poll_wait();
+  clock_.PollSent(now);
   line->called_at = now;
   line->called_wait = wait;
   Schedule();
@@ -129,7 +130,7 @@
     evhttp_connection_set_retries(line->connection.get(), 0);
     evhttp_connection_set_timeout(line->connection.get(), 70);  // ours is the shorter one
   }
-  evhttp_request* request = evhttp_request_new(&Discovery::OnDone, line);
+  evhttp_request* request = evhttp_request_new(&DiscoveryClient::OnDone, line);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host",
                     (endpoint_.host + ":" + std::to_string(endpoint_.port)).c_str());
   std::string path = "/api/targets";
@@ -143,7 +144,7 @@
   }
 }
 
-void Discovery::OnDone(evhttp_request* request, void* arg) {
+void DiscoveryClient::OnDone(evhttp_request* request, void* arg) {
   auto* line = static_cast<Line*>(arg);
   if (line->out == nullptr)
     return;  // cancelled
@@ -151,7 +152,7 @@
   line->owner->Answered(line, request);
 }
 
-void Discovery::Answered(Line* line, evhttp_request* request) {
+void DiscoveryClient::Answered(Line* line, evhttp_request* request) {
   if (request == nullptr || evhttp_request_get_response_code(request) == 0)
     return Fail(line, "connection broke");
   if (evhttp_request_get_response_code(request) != 200)
@@ -189,29 +190,29 @@
   const Form form = message.full ? (left_ ? Form::kCached : Form::kSnapshot)
                                  : (left_ ? Form::kDeltaFromPreviousSource : Form::kDelta);
   sink_->Post(EndpointListUpdate{form, WorkerEndpoint::Source::kDiscovery, std::move(message.workers)});
-  clock_.Answered(SteadyNow(), line->called_at);
+  clock_.PollAnswered(SteadyNow(), line->called_at);
   refused_ = false;
   Schedule();
   if (!left_)
     return;
-  after_->clock_.LeftAnswered(clock_);
+  after_->clock_.PreviousSourceAnswered(clock_);
   after_->Schedule();
 }
 
-void Discovery::Fail(Line* line, const char* why, bool answered) {
+void DiscoveryClient::Fail(Line* line, const char* why, bool answered) {
   Log(left_ ? LogLevel::kDebug : LogLevel::kWarning, left_ ? "discovery_left" : "discovery_failed",
       {{"why", why},
        {"wait_ms", line->called_wait / kMillisecond},
        {"took_ms", (SteadyNow() - line->called_at) / kMillisecond}});
   const bool others_out = AnyOut();
-  clock_.Failed(SteadyNow(), line->called_at, answered, others_out);
+  clock_.PollFailed(SteadyNow(), line->called_at, answered, others_out);
   Schedule();
   if (others_out)
     return;
   continuing_ = false;
   if (!left_)
     return sink_->Post(EndpointListWatchFailed{});
-  after_->clock_.LeftFailed();
+  after_->clock_.PreviousSourceFailed();
   after_->Schedule();
 }
 
--- a/src/http/discovery.h
+++ b/src/http/discovery_client.h
@@ -1,7 +1,7 @@
 // Watches discovery's list, the name table, over HTTP, on evhttp's client: mostly one call out at a time, and
 // more beside it where one may have been lost.
-#ifndef ALDERSILL_SRC_HTTP_DISCOVERY_H_
-#define ALDERSILL_SRC_HTTP_DISCOVERY_H_
+#ifndef ALDERSILL_SRC_HTTP_DISCOVERY_CLIENT_H_
+#define ALDERSILL_SRC_HTTP_DISCOVERY_CLIENT_H_
 
 #include <array>
 #include <cstdint>
@@ -10,36 +10,36 @@
 
 #include "core/types.h"
 #include "http/connect_probe.h"
-#include "http/discovery_clock.h"
+#include "http/watch_scheduler.h"
 #include "net/event_loop.h"
 
 namespace aldersill {
 
-class Discovery {
+class DiscoveryClient {
  public:
   // `known_version`: of the list that is known already; none where it came from elsewhere, so that the first
   // news must be the whole list. `clock`: when calls may be made; it has begun. `left`: the watch at the
   // address before, if any; it is listened to until this one's first answer or its own end, as its end comes
   // seconds before that answer where all dispatchers move together.
-  Discovery(event_base* base, const Endpoint& endpoint, std::optional<std::uint64_t> known_version,
-            DiscoveryClock clock, EventSink* sink, std::unique_ptr<Discovery> left = nullptr);
-  ~Discovery();
+  DiscoveryClient(event_base* base, const Endpoint& endpoint, std::optional<std::uint64_t> known_version,
+                  WatchScheduler clock, EventSink* sink, std::unique_ptr<DiscoveryClient> left = nullptr);
+  ~DiscoveryClient();
 
   // Begins to watch, unless begun, and goes on for the life of this: a watch that has ended or fallen silent
   // is opened anew when the clock allows it. What it brings is told as it comes, its end once, and with each
   // step for how long the list is good.
-  void Watch();
+  void StartWatching();
 
  private:
   // One connection, and the call that is out on it, if any.
   struct Line {
-    Discovery* owner = nullptr;
+    DiscoveryClient* owner = nullptr;
     EventPtr<evhttp_connection> connection;
     evhttp_request* out = nullptr;
     Micros called_at = 0, called_wait = 0;
   };
   static void OnDone(evhttp_request* request, void* line);
-  void Leave(Discovery* after);
+  void Leave(DiscoveryClient* after);
   void Call();
   void Answered(Line* line, evhttp_request* request);
   // `answered`: discovery itself said no.
@@ -52,7 +52,7 @@
   event_base* base_;
   const Endpoint endpoint_;
   EventSink* sink_;
-  DiscoveryClock clock_;
+  WatchScheduler clock_;
   std::array<Line, 4> lines_;  // calls to an agent follow one another by 120 ms: one gets half a second
   Line* last_ = &lines_[0];    // its connection answered last
   std::unique_ptr<Timer> next_, next_probe_;
@@ -62,10 +62,10 @@
   bool continuing_ = false;  // the watch is on: the last call that ended was answered
   bool refused_ = false;     // nobody was there when it was tried last
   bool left_ = false;  // a discovery at another address has taken over: no new watch, no word of its end
-  std::unique_ptr<Discovery> before_;
-  Discovery* after_ = nullptr;  // the one that has taken over
+  std::unique_ptr<DiscoveryClient> before_;
+  DiscoveryClient* after_ = nullptr;  // the one that has taken over
 };
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_HTTP_DISCOVERY_H_
+#endif  // ALDERSILL_SRC_HTTP_DISCOVERY_CLIENT_H_
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -280,7 +280,7 @@
   bool Count(std::size_t bytes) {
     frontend_->unfinished_bytes_ += bytes - counted_;
     counted_ = bytes;
-    return bytes <= kSmall || frontend_->unfinished_bytes_ <= frontend_->settings_.most_bytes;
+    return bytes <= kSmall || frontend_->unfinished_bytes_ <= frontend_->settings_.max_unfinished_bytes;
   }
 
   void Take() {
@@ -303,7 +303,7 @@
     }
     Job job;
     try {
-      job = DecodeJob(std::move(request), frontend_->settings_.keyed);
+      job = DecodeJob(std::move(request), frontend_->settings_.requires_idempotency_key);
     } catch (const BadMessage& e) {
       frontend_->CountRejection(400, e.what(), id);
       return Write(400, std::string(e.what()) + "\n");
@@ -412,16 +412,16 @@
       settings_(std::move(settings)),
       sink_(sink),
       ready_(std::move(ready)),
-      listener_(Open(listen)),
+      listener_(CreateListener(listen)),
       drain_timer_(base, [this] { CloseIdle(); }),
       leave_timer_(base, [this] { StopListening(); }),
       room_timer_(base, [this] { UpdateAcceptState(); }),
       rejections_timer_(base, [this] { LogRejections(false); }) {}
 HttpFrontend::~HttpFrontend() { LogRejections(true); }
 
-EventPtr<evconnlistener> HttpFrontend::Open(const Endpoint& listen) {
+EventPtr<evconnlistener> HttpFrontend::CreateListener(const Endpoint& listen) {
   EventPtr<evconnlistener> listener =
-      BindOn(base_, listen, "listen", settings_.shares_endpoint, &HttpFrontend::OnAccept, this);
+      BindOn(base_, listen, "listen", settings_.shared_endpoint, &HttpFrontend::OnAccept, this);
   evconnlistener_set_error_cb(listener.get(), &HttpFrontend::OnAcceptFailed);
   return listener;
 }
@@ -431,14 +431,14 @@
   if (listener != nullptr) {
     listener_ = std::move(listener);
     if (listens_)
-      Listen();
+      StartListening();
   }
   UpdateAcceptState();
 }
 
-void HttpFrontend::Listen() {
+void HttpFrontend::StartListening() {
   listens_ = true;
-  StartListening(listener_.get());
+  aldersill::StartListening(listener_.get());
 }
 
 int HttpFrontend::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
@@ -486,7 +486,7 @@
 void HttpFrontend::UpdateAcceptState() {
   if (!listens_)
     return;
-  if (connections_.size() < settings_.most_connections || EvictConnection()) {
+  if (connections_.size() < settings_.max_connections || EvictConnection()) {
     evconnlistener_enable(listener_.get());
     return;
   }
@@ -538,7 +538,7 @@
   connection->Reply(answer);
 }
 
-bool HttpFrontend::HasLeft(std::uint64_t client) const {
+bool HttpFrontend::ClientDisconnected(std::uint64_t client) const {
   const auto found = held_.find(client);
   return found != held_.end() && found->second->Ended();
 }
@@ -569,7 +569,7 @@
   return client;
 }
 
-void HttpFrontend::BeginDrain() {
+void HttpFrontend::StartDraining() {
   if (drain_began_ != 0)
     return;
   drain_began_ = last_accept_ = SteadyNow();
@@ -585,7 +585,7 @@
 
 // Those whose handshake was under way are in the queue by now, or have been taken.
 void HttpFrontend::StopListening() {
-  const Micros since = SinceLastAccept();
+  const Micros since = TimeSinceLastAccept();
   if (since < kHandshake)
     return leave_timer_.Set(kHandshake - since);
   listens_ = false;
@@ -616,7 +616,7 @@
   return std::max<Micros>(0, AnswerBy() - now);
 }
 
-bool HttpFrontend::Quiet() const {
+bool HttpFrontend::IsDrained() const {
   if (connections_.empty())
     return true;
   // Peers that have their answers and never close must not keep the program until it is killed.
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -19,11 +19,11 @@
 namespace aldersill {
 
 struct HttpFrontendSettings {
-  std::unordered_map<std::string, bool> keyed;  // by class, whether its jobs carry a key
-  std::size_t most_connections = 0;
-  std::size_t most_bytes = 0;    // of requests that have not come whole, over all connections
-  Micros longest_deadline = 0;   // of all classes
-  bool shares_endpoint = false;  // with other processes of this dispatcher
+  std::unordered_map<std::string, bool> requires_idempotency_key;  // by class, whether its jobs carry a key
+  std::size_t max_connections = 0;
+  std::size_t max_unfinished_bytes = 0;  // of requests that have not come whole, over all connections
+  Micros longest_deadline = 0;           // of all classes
+  bool shared_endpoint = false;          // with other processes of this dispatcher
 };
 
 // A connection with a request in hand, between two processes.
@@ -41,16 +41,16 @@
                std::function<bool()> ready);
   ~HttpFrontend();
 
-  void Listen();
-  bool Listens() const { return listens_; }
+  void StartListening();
+  bool listening() const { return listens_; }
   // New settings. `listener`: in place of the one it has; null keeps that.
   void ApplySettings(HttpFrontendSettings settings, EventPtr<evconnlistener> listener);
   // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
-  EventPtr<evconnlistener> Open(const Endpoint& listen);
+  EventPtr<evconnlistener> CreateListener(const Endpoint& listen);
   int port() const;  // the one it listens on, which the kernel chose if the endpoint had none
   void Reply(std::uint64_t client, const FinalAnswer& answer);
   // Whether a client with a request in hand has ended its connection, read or not.
-  bool HasLeft(std::uint64_t client) const;
+  bool ClientDisconnected(std::uint64_t client) const;
 
   // The connection of a client that waits for its answer; nothing for one that has gone, or has sent more
   // than its request. It stays this frontend's until Forget.
@@ -61,13 +61,13 @@
   std::uint64_t ReceiveTransfer(const TransferredConnection& held);
 
   // From now on connections end between requests; new ones are still taken.
-  void BeginDrain();
+  void StartDraining();
   // In a drain, where other processes share the endpoint: newcomers go to the one of this number, and once
   // those that were on their way are taken, none come here any more.
   void RouteNewConnectionsTo(unsigned number);
   // No request in hand, and nobody left to whom an answer is still on its way.
-  bool Quiet() const;
-  Micros SinceLastAccept() const { return SteadyNow() - last_accept_; }
+  bool IsDrained() const;
+  Micros TimeSinceLastAccept() const { return SteadyNow() - last_accept_; }
 
  private:
   class Connection;
--- a/src/http/discovery_clock.h
+++ b/src/http/watch_scheduler.h
@@ -1,82 +1,84 @@
 // When discovery is called, and until when the list that we have may be acted on: what discovery has to tell
 // counts as told after a while, whether it arrived or not, and nothing new may go to an instance that by then
 // is to get none. Pure: no clock, no socket; times are of any clock that never steps back, in microseconds.
-#ifndef ALDERSILL_SRC_HTTP_DISCOVERY_CLOCK_H_
-#define ALDERSILL_SRC_HTTP_DISCOVERY_CLOCK_H_
+#ifndef ALDERSILL_SRC_HTTP_WATCH_SCHEDULER_H_
+#define ALDERSILL_SRC_HTTP_WATCH_SCHEDULER_H_
 
 #include <algorithm>
 #include <limits>
 #include <utility>
 
 #include "core/types.h"
-#include "http/call_pacing.h"
+#include "http/poll_backoff.h"
 
 namespace aldersill {
 
-class DiscoveryClock {
+class WatchScheduler {
  public:
   enum class Kind {
-    kAsked,   // one service for all dispatchers, which works through calls in turn
+    kPolled,  // one service for all dispatchers, which works through calls in turn
     kPushed,  // an agent of our own, which answers at once and for nothing
   };
   struct Rules {
-    Kind kind = Kind::kAsked;
+    Kind kind = Kind::kPolled;
     Micros must_ask_in = 10 * kSecond;        // rules.mustAskIn
     Micros drain_grace = 300 * kMillisecond;  // rules.drainGrace
   };
   static constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
-  DiscoveryClock(Rules rules, CallPacing pacing) : rules_(rules), pacing_(std::move(pacing)) {}
+  WatchScheduler(Rules rules, PollBackoff pacing) : rules_(rules), pacing_(std::move(pacing)) {}
 
   // A start, or a discovery at a new address. The list known so far may be acted on for `hold` from now.
-  void Begin(Micros now, Micros hold) {
+  void Start(Micros now, Micros hold) {
     begun_at_ = complete_at_ = now;
     hold_until_ = now + hold;
-    next_call_ = now + (pushed() ? 0 : pacing_.BeforeFirst());
+    next_call_ = now + (pushed() ? 0 : pacing_.InitialDelay());
   }
   // A start with a list from before it. Whatever discovery has had since `complete_at` is missing from it,
-  // and counts as told kToldWithin later, though this process was not there to hear it.
-  void BeginRemembered(Micros now, Micros complete_at) {
-    Begin(now, pushed() ? rules_.drain_grace : rules_.must_ask_in);
+  // and counts as told kNotificationBound later, though this process was not there to hear it.
+  void StartWithCachedList(Micros now, Micros complete_at) {
+    Start(now, pushed() ? rules_.drain_grace : rules_.must_ask_in);
     complete_at_ = std::min(now, complete_at);
     if (!pushed())
-      bound_until_ = complete_at_ + kToldWithin;
+      bound_until_ = complete_at_ + kNotificationBound;
   }
   // After Begin, at a new address: the list is as good as `left`, the clock of the old one, has it, until the
   // old watch is heard again: it may be silent. A call given up by the move is one given up.
-  void Succeed(const DiscoveryClock& left) {
+  void ContinueFrom(const WatchScheduler& left) {
     complete_at_ = left.complete_at_;
     failed_ = left.failed_ || (left.out_ && left.called_wait_ == 0 && !left.pushed());
     if (!pushed())
       bound_until_ = left.valid_until();
   }
   // The watch at the old address has answered: it was on when we were moved.
-  void LeftAnswered(const DiscoveryClock& left) {
+  void PreviousSourceAnswered(const WatchScheduler& left) {
     complete_at_ = std::max(complete_at_, std::min(begun_at_, left.complete_at_));
     if (left.complete_at_ >= begun_at_)
       bound_until_ = kNever;
   }
   // It has ended without.
-  void LeftFailed() { failed_ = true; }
+  void PreviousSourceFailed() { failed_ = true; }
   // A call is due then, and while others are out, beside these: an answer may have been lost, or be waiting
   // for its turn, and giving it up would only cost another turn.
-  Micros next_call() const { return next_call_; }
+  Micros next_poll() const { return next_call_; }
   // How long the next call may wait for news; 0: it begins a watch, and what was missed comes at once.
-  Micros next_wait() const { return continues_ ? (pushed() ? pushed_wait() : kWait) : 0; }
+  Micros next_poll_wait() const { return continues_ ? (pushed() ? pushed_wait() : kLongPollWait) : 0; }
 
-  void Called(Micros now) {
+  void PollSent(Micros now) {
     if (out_)
       Overdue();
-    called_wait_ = next_wait();
+    called_wait_ = next_poll_wait();
     called_at_ = now;
     called_ = out_ = true;
     continues_ = false;
-    const Micros patience = pushed() ? pushed_patience() : called_wait_ > 0 ? kPatience : kBeginPatience;
+    const Micros patience = pushed()           ? pushed_patience()
+                            : called_wait_ > 0 ? kResponseTimeout
+                                               : kFirstResponseTimeout;
     next_call_ = now + called_wait_ + patience;
   }
   // The call made at `called_at` has brought the list; others do not matter any more. The next has to follow
   // at once, or it would be a new watch.
-  void Answered(Micros now, Micros called_at) {
+  void PollAnswered(Micros now, Micros called_at) {
     // A watch that is not overdue is heard as it is written. Any other answer may have been long on its way.
     heard_ = called_wait_ > 0 && called_at == called_at_ && now <= next_call_;
     complete_at_ = heard_ ? now : called_at;
@@ -84,12 +86,12 @@
     answered_ = continues_ = true;
     next_call_ = now;
     next_probe_ = bound_until_ = kNever;
-    pacing_.Succeeded();
+    pacing_.Reset();
   }
   // The call made at `called_at` has ended without the list. `others_out`: whether any that may still bring
   // it is left. Those older than it are overdue: the next is not put off for them.
   // `answered`: discovery said so itself; otherwise the connection broke or never came up.
-  void Failed(Micros now, Micros called_at, bool answered, bool others_out) {
+  void PollFailed(Micros now, Micros called_at, bool answered, bool others_out) {
     failed_ = true;
     out_ = others_out;
     if (others_out && called_at != called_at_)
@@ -114,24 +116,24 @@
   // as it was when discovery went. Between two refusals it may have been there for a moment and be gone
   // again: a drain of just then would be heeded late. So only refusals that follow one another, and the last
   // known moment, within the time that a drain may take to be heeded count.
-  void Refused(Micros now) {
+  void ProbeRefused(Micros now) {
     if (now - unreached_from_ <= rules_.drain_grace)
       complete_at_ = unreached_from_ = now;
     called_at_ = now;
     called_wait_ = 0;
     called_ = failed_ = true;
     next_call_ = kNever;  // as it would be refused
-    next_probe_ = now + pacing_.Within(kProbeEvery);
+    next_probe_ = now + pacing_.JitteredDelay(kMaxProbeInterval);
   }
   // It was not, or nobody knows: discovery may have something to tell from now on.
-  void MayBeReached(Micros now) {
+  void ProbeNotRefused(Micros now) {
     unreached_from_ = kLongAgo;
     next_probe_ = kNever;
     if (next_call_ != kNever)
       return;
     // It is back for all.
-    pacing_.Succeeded();
-    next_call_ = now + pacing_.BeforeFirst();
+    pacing_.Reset();
+    next_call_ = now + pacing_.InitialDelay();
   }
 
   // From then on something may count as told that has not arrived.
@@ -139,21 +141,21 @@
     const Micros until = std::min(pushed() ? PushedUntil() : AskedUntil(), bound_until_);
     // Once a call has failed, was given up or is overdue, every change that discovery could have told counts,
     // whatever the calls since then.
-    return failed_ ? std::min(until, complete_at_ + kToldWithin) : until;
+    return failed_ ? std::min(until, complete_at_ + kNotificationBound) : until;
   }
 
   // A call waits this long for news: a discovery that has gone silent is noticed only after it.
-  static constexpr Micros kWait = 2 * kSecond;
+  static constexpr Micros kLongPollWait = 2 * kSecond;
   // An empty answer came within 1 ms of its wait (6,692 of 6,692, 300 dispatchers).
-  static constexpr Micros kPatience = 250 * kMillisecond;
+  static constexpr Micros kResponseTimeout = 250 * kMillisecond;
   // A call that begins a watch may wait for its turn.
-  static constexpr Micros kBeginPatience = 2'500 * kMillisecond;
+  static constexpr Micros kFirstResponseTimeout = 2'500 * kMillisecond;
   // While connects are refused one follows another by half of this at least.
-  static constexpr Micros kProbeEvery = 100 * kMillisecond;
+  static constexpr Micros kMaxProbeInterval = 100 * kMillisecond;
   // What discovery has to tell counts as told after this long, whether it arrived or not; what a call that
   // may wait has missed 2 s after its wait, if that is later.
-  static constexpr Micros kToldWithin = 6 * kSecond;
-  static_assert(kWait + 2 * kSecond <= kToldWithin);
+  static constexpr Micros kNotificationBound = 6 * kSecond;
+  static_assert(kLongPollWait + 2 * kSecond <= kNotificationBound);
 
  private:
   static constexpr Micros kLongAgo = std::numeric_limits<Micros>::min() / 2;
@@ -179,19 +181,19 @@
   Micros AskedUntil() const {
     if (!called_)
       return hold_until_;
-    return called_at_ + (out_ && called_wait_ > 0 ? kToldWithin : rules_.must_ask_in);
+    return called_at_ + (out_ && called_wait_ > 0 ? kNotificationBound : rules_.must_ask_in);
   }
 
   Micros BeforeRepeat() {
     if (pushed())
-      return pacing_.Within(pushed_patience());
+      return pacing_.JitteredDelay(pushed_patience());
     // A watch that ended with an error ended for all dispatchers: discovery is down, and all will call. One
     // that fell silent did so here alone and was opened anew at once; if that was refused, many call.
-    return called_wait_ > 0 && !silent_ ? pacing_.BeforeFirst() : pacing_.AfterFailure();
+    return called_wait_ > 0 && !silent_ ? pacing_.InitialDelay() : pacing_.NextRetryDelay();
   }
 
   const Rules rules_;
-  CallPacing pacing_;
+  PollBackoff pacing_;
   Micros begun_at_ = 0, hold_until_ = 0;
   Micros bound_until_ = kNever;       // of a list remembered, or heard at the address that was left
   Micros complete_at_ = 0;            // whatever discovery had by then is in the list
@@ -209,4 +211,4 @@
 
 }  // namespace aldersill
 
-#endif  // ALDERSILL_SRC_HTTP_DISCOVERY_CLOCK_H_
+#endif  // ALDERSILL_SRC_HTTP_WATCH_SCHEDULER_H_
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -376,8 +376,8 @@
   Remove(connection);
 }
 
-void WorkerClient::Resume(AttemptId attempt, std::shared_ptr<const Job> job,
-                          const TransferredAttempt& running) {
+void WorkerClient::ReceiveTransfer(AttemptId attempt, std::shared_ptr<const Job> job,
+                                   const TransferredAttempt& running) {
   EventPtr<bufferevent> stream(
       bufferevent_socket_new(base_, running.fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   auto connection = std::make_unique<Connection>(this, running.address, std::move(stream));
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -42,7 +42,7 @@
   // Lets go of it without a word: another process has it.
   void CompleteTransfer(AttemptId attempt);
   // Goes on with one that another process handed over.
-  void Resume(AttemptId attempt, std::shared_ptr<const Job> job, const TransferredAttempt& running);
+  void ReceiveTransfer(AttemptId attempt, std::shared_ptr<const Job> job, const TransferredAttempt& running);
   // Tells the sink.
   void Probe(const ProbeWorker& probe);
   // Tells `done` instead, once, and maybe at once.
--- a/tests/daemon/discovery_crossings_test.cpp
+++ b/tests/daemon/discovery_crossings_test.cpp
@@ -12,13 +12,13 @@
 #include <vector>
 
 #include "http/connect_probe.h"
-#include "http/discovery.h"
+#include "http/discovery_client.h"
 
 namespace aldersill {
 namespace {
 
 constexpr Micros kPatience = 30 * kSecond;  // a machine this slow is out of order
-constexpr Micros kToldWithin = DiscoveryClock::kToldWithin;
+constexpr Micros kNotificationBound = WatchScheduler::kNotificationBound;
 
 std::string Ok(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -48,12 +48,12 @@
         listener_(ListenOn(base_.get(), {"127.0.0.1", 0}, "discovery", &Scene::OnAccept, this)),
         dribble_(base_.get(), [this] { Dribble(); }),
         endpoint_{"127.0.0.1", static_cast<std::uint16_t>(PortOf(evconnlistener_get_fd(listener_.get())))} {
-    const DiscoveryClock::Rules rules{DiscoveryClock::Kind::kAsked, 10 * kSecond, drain_grace};
-    DiscoveryClock clock(rules, CallPacing(1, 5 * kSecond, 7));
-    clock.Begin(SteadyNow(), 10 * kSecond);
-    discovery_ =
-        std::make_unique<Discovery>(base_.get(), endpoint_, std::nullopt, std::move(clock), this, nullptr);
-    discovery_->Watch();
+    const WatchScheduler::Rules rules{WatchScheduler::Kind::kPolled, 10 * kSecond, drain_grace};
+    WatchScheduler clock(rules, PollBackoff(1, 5 * kSecond, 7));
+    clock.Start(SteadyNow(), 10 * kSecond);
+    discovery_ = std::make_unique<DiscoveryClient>(base_.get(), endpoint_, std::nullopt, std::move(clock),
+                                                   this, nullptr);
+    discovery_->StartWatching();
   }
 
   void Post(Event event) override {
@@ -134,7 +134,7 @@
   bool forever_ = false;
   Timer dribble_;
   Endpoint endpoint_;
-  std::unique_ptr<Discovery> discovery_;
+  std::unique_ptr<DiscoveryClient> discovery_;
 };
 
 TEST_CASE("calls that fail do not renew the list: it is good for 6 s from when it was heard") {
@@ -143,7 +143,7 @@
     Scene s([&](int call, const std::string&) { return call == 1 ? Ok(List(41, true, "ab")) : failing; });
     REQUIRE(s.Until([&] { return s.failures >= 4; }));
     REQUIRE(s.lists.size() == 1);
-    CHECK(s.latest_after_failure <= s.heard_at + kToldWithin);
+    CHECK(s.latest_after_failure <= s.heard_at + kNotificationBound);
   }
 }
 
@@ -156,7 +156,7 @@
   REQUIRE(s.Until([&] { return s.calls.size() == 3; }));  // a watch that has been heard as one, and goes on
   const Micros gone = SteadyNow();
   s.Vanish();
-  CHECK(s.Until([&] { return s.valid_until > gone + kToldWithin + 500 * kMillisecond; }));
+  CHECK(s.Until([&] { return s.valid_until > gone + kNotificationBound + 500 * kMillisecond; }));
 }
 
 TEST_CASE("a connect tells refused only where nobody listens") {
--- a/tests/daemon/call_pacing_test.cpp
+++ b/tests/daemon/poll_backoff_test.cpp
@@ -1,5 +1,5 @@
 // Many dispatchers, each with a pacing of its own, against one modelled discovery in virtual time.
-#include "http/call_pacing.h"
+#include "http/poll_backoff.h"
 
 #include <doctest/doctest.h>
 
@@ -40,13 +40,13 @@
 
 // All start at once and call until they are served; `paced` false: at once, and again within 0.3 s.
 Outcome StartTogether(int dispatchers, std::uint64_t seed, bool paced) {
-  std::vector<CallPacing> pacing;
+  std::vector<PollBackoff> pacing;
   std::mt19937_64 random(seed);
   using Call = std::pair<Micros, int>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
   for (int i = 0; i < dispatchers; ++i) {
     pacing.emplace_back(dispatchers, kLongest, random());
-    calls.emplace(paced ? pacing.back().BeforeFirst() : static_cast<Micros>(random() % 100'000), i);
+    calls.emplace(paced ? pacing.back().InitialDelay() : static_cast<Micros>(random() % 100'000), i);
   }
   ModelledDiscovery discovery;
   Outcome outcome;
@@ -59,7 +59,7 @@
       continue;
     }
     ++outcome.failures;
-    const Micros wait = paced ? pacing[i].AfterFailure() : static_cast<Micros>(random() % 300'000);
+    const Micros wait = paced ? pacing[i].NextRetryDelay() : static_cast<Micros>(random() % 300'000);
     calls.emplace(verdict.at + wait, i);
   }
   if (!calls.empty())
@@ -81,11 +81,11 @@
 TEST_CASE("repeats back off, never beyond the bound, and begin anew after a success") {
   for (const int dispatchers : {1, 3, 100, 10'000}) {
     CAPTURE(dispatchers);
-    CallPacing pacing(dispatchers, kLongest, 7);
-    CHECK(pacing.BeforeFirst() <= kLongest);
+    PollBackoff pacing(dispatchers, kLongest, 7);
+    CHECK(pacing.InitialDelay() <= kLongest);
     Micros longest_of_late = 0;
     for (int i = 0; i < 200; ++i) {
-      const Micros wait = pacing.AfterFailure();
+      const Micros wait = pacing.NextRetryDelay();
       CHECK(wait > 0);
       // Three hundred that repeat within 5 s never get through where discovery works on the dead calls too.
       CHECK(wait <= (dispatchers <= 83 ? kLongest : std::min<Micros>(2 * kLongest, dispatchers * 60'000)));
@@ -93,18 +93,18 @@
         longest_of_late = std::max(longest_of_late, wait);
     }
     CHECK(longest_of_late > kLongest / 2);
-    pacing.Succeeded();
-    CHECK(pacing.AfterFailure() <= std::min<Micros>(kLongest, dispatchers * 60 * kMillisecond));
+    pacing.Reset();
+    CHECK(pacing.NextRetryDelay() <= std::min<Micros>(kLongest, dispatchers * 60 * kMillisecond));
   }
 }
 
 TEST_CASE("few dispatchers hardly wait, and a short bound holds for any number") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    CHECK(CallPacing(3, kLongest, seed).BeforeFirst() <= 180'000);
-    CallPacing moved(1'000, kSecond, seed);
-    CHECK(moved.BeforeFirst() <= kSecond);
-    CHECK(moved.AfterFailure() <= kSecond);
-    CHECK(moved.AfterFailure() <= 2 * kSecond);
+    CHECK(PollBackoff(3, kLongest, seed).InitialDelay() <= 180'000);
+    PollBackoff moved(1'000, kSecond, seed);
+    CHECK(moved.InitialDelay() <= kSecond);
+    CHECK(moved.NextRetryDelay() <= kSecond);
+    CHECK(moved.NextRetryDelay() <= 2 * kSecond);
   }
 }
 
--- a/tests/daemon/discovery_clock_test.cpp
+++ b/tests/daemon/watch_scheduler_test.cpp
@@ -2,7 +2,7 @@
 // answers with errors, breaks off, falls silent, moves, or is an agent: is the list ever acted on after a
 // change that is not in it counts as told, and how long until each has the list again? The figures are the
 // table of docs/scale.md (run with -s to print them).
-#include "http/discovery_clock.h"
+#include "http/watch_scheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -16,13 +16,13 @@
 namespace aldersill {
 namespace {
 
-using Kind = DiscoveryClock::Kind;
+using Kind = WatchScheduler::Kind;
 constexpr Micros kMustAskIn = 10 * kSecond;
 constexpr Micros kGrace = 300 * kMillisecond;
-constexpr Micros kToldWithin = 6 * kSecond;  // the users' own term, whatever the clock says
+constexpr Micros kNotificationBound = 6 * kSecond;  // the users' own term, whatever the clock says
 constexpr Micros kEnd = 60 * kSecond;
 constexpr Micros kTravel = kMillisecond;
-constexpr Micros kNever = DiscoveryClock::kNever;
+constexpr Micros kNever = WatchScheduler::kNever;
 constexpr Micros kDay = 86'400 * kSecond;
 
 // What discovery does meanwhile, or what befalls a share of the dispatchers at one moment.
@@ -50,7 +50,7 @@
 };
 struct Scene {
   std::string name;
-  Kind kind = Kind::kAsked;
+  Kind kind = Kind::kPolled;
   std::vector<Trouble> troubles;
   Micros measured_from = 0;  // how long until the list, from then on
   Micros change_every = 100 * kMillisecond;
@@ -92,7 +92,7 @@
     bool lost = false, written = false;
   };
   struct One {
-    std::optional<DiscoveryClock> clock;
+    std::optional<WatchScheduler> clock;
     std::map<int, CallOut> out;
     int generation = 0, probe = 0;
     bool probing = false;
@@ -128,11 +128,11 @@
   void Start(Micros now, int who, Micros age) {
     One& one = all_[who];
     const Micros held_at = now - age;
-    one.clock.emplace(DiscoveryClock::Rules{scene_.kind, kMustAskIn, kGrace},
-                      CallPacing(count_, kMustAskIn / 2, random_()));
+    one.clock.emplace(WatchScheduler::Rules{scene_.kind, kMustAskIn, kGrace},
+                      PollBackoff(count_, kMustAskIn / 2, random_()));
     // A worker in half of the lists has just been started: so young they are at least.
     const Micros told_start = Chance(0.5) ? held_at - static_cast<Micros>(random_() % (3 * kSecond)) : -kDay;
-    one.clock->BeginRemembered(now, told_start);
+    one.clock->StartWithCachedList(now, told_start);
     one.out.clear();
     ++one.probe;
     one.probing = false;
@@ -146,9 +146,9 @@
   }
   void Move(Micros now, int who) {
     One& one = all_[who];
-    DiscoveryClock next({scene_.kind, kMustAskIn, kGrace}, CallPacing(count_, kMustAskIn / 2, random_()));
-    next.Begin(now, Pushed() ? 4 * kSecond : kMustAskIn - DiscoveryClock::kWait);
-    next.Succeed(*one.clock);
+    WatchScheduler next({scene_.kind, kMustAskIn, kGrace}, PollBackoff(count_, kMustAskIn / 2, random_()));
+    next.Start(now, Pushed() ? 4 * kSecond : kMustAskIn - WatchScheduler::kLongPollWait);
+    next.ContinueFrom(*one.clock);
     for (const auto& [number, call] : one.out) {
       if (call.wait == 0)
         one.failed = true;
@@ -174,22 +174,22 @@
     const Micros had = Pushed() ? std::max(told_[one.known], one.started_at) : told_[one.known];
     if (Pushed()) {
       if (one.failed)
-        return had + kToldWithin;
-      Micros told = one.silent_since == kNever ? had : std::max(had, one.silent_since + kToldWithin);
+        return had + kNotificationBound;
+      Micros told = one.silent_since == kNever ? had : std::max(had, one.silent_since + kNotificationBound);
       if (one.moved_at >= 0)
         told = std::max(told, one.moved_at + 4 * kSecond);
       return told;
     }
     if (one.failed)
-      return had + kToldWithin;
+      return had + kNotificationBound;
     for (const auto& [number, call] : one.out) {
       if (call.wait == 0 || call.lost)
         continue;
-      return call.written ? had + kToldWithin : kNever;  // on its way, or about to be written
+      return call.written ? had + kNotificationBound : kNever;  // on its way, or about to be written
     }
     Micros told = std::max(had, one.called_at) + kMustAskIn;
     if (one.silent_since != kNever)
-      told = std::min(told, std::max(had, one.silent_since + kToldWithin));
+      told = std::min(told, std::max(had, one.silent_since + kNotificationBound));
     return told;
   }
   void Judge(Micros now, One* one) {
@@ -240,8 +240,8 @@
     if (s.what == Step::kCall) {
       if (!one.out.empty() && !Pushed())
         one.failed = true;
-      const Micros wait = one.clock->next_wait();
-      one.clock->Called(s.at);
+      const Micros wait = one.clock->next_poll_wait();
+      one.clock->PollSent(s.at);
       one.called_at = s.at;
       // As Discovery has it: four at most, and the oldest makes room.
       if (one.out.size() == 4)
@@ -254,12 +254,12 @@
            t != nullptr && t->what == Trouble::kRefuses);
     } else if (s.what == Step::kProbed) {
       one.probing = false;
-      s.answered ? one.clock->Refused(s.at) : one.clock->MayBeReached(s.at);
+      s.answered ? one.clock->ProbeRefused(s.at) : one.clock->ProbeNotRefused(s.at);
     } else if (s.what == Step::kFails) {
       const Micros called_at = call->second.at;
       one.out.erase(call);
       one.failed = true;
-      one.clock->Failed(s.at, called_at, s.answered, !one.out.empty());
+      one.clock->PollFailed(s.at, called_at, s.answered, !one.out.empty());
     } else {
       const Micros called_at = call->second.at;
       one.out.clear();
@@ -267,7 +267,7 @@
       one.failed = false;
       one.silent_since = kNever;
       one.moved_at = -kNever;
-      one.clock->Answered(s.at, called_at);
+      one.clock->PollAnswered(s.at, called_at);
       if (std::exchange(one.measured, false)) {
         ++found_.waited;
         found_.longest_without = std::max(found_.longest_without, s.at - scene_.measured_from);
@@ -285,8 +285,8 @@
   void Next(Micros now, int who) {
     One& one = all_[who];
     ++one.generation;
-    if (one.clock->next_call() != kNever)
-      Push(std::max(now, one.clock->next_call()), who, Step::kCall, one.generation);
+    if (one.clock->next_poll() != kNever)
+      Push(std::max(now, one.clock->next_poll()), who, Step::kCall, one.generation);
     if (one.clock->next_probe() == kNever) {
       ++one.probe;
       one.probing = false;
@@ -390,69 +390,69 @@
 constexpr Micros kAt = 20'730'000;  // in the middle of watches
 
 const std::vector<Scene> kScenes = {
-    {"a fifth of the watches fall silent", Kind::kAsked, {{Trouble::kLosesOut, kAt, 0, 0.2}}, kAt},
-    {"all watches fall silent", Kind::kAsked, {{Trouble::kLosesOut, kAt}}, kAt},
+    {"a fifth of the watches fall silent", Kind::kPolled, {{Trouble::kLosesOut, kAt, 0, 0.2}}, kAt},
+    {"all watches fall silent", Kind::kPolled, {{Trouble::kLosesOut, kAt}}, kAt},
     {"a fifth of the watches fall silent, and all calls 2.5 s later",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kLosesOut, kAt, 0, 0.2}, {Trouble::kLosesOut, kAt + 2'500'000}},
      kAt,
      100 * kMillisecond,
      43,
      kAt + 2'500'000},
     {"a fifth of calls and watches fall silent while all start",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kStarts, 2 * kS}, {Trouble::kLosesOut, 5'120'000, 0, 0.2}},
      5'120'000,
      100 * kMillisecond,
      43,
      5'120'000},
-    {"all start", Kind::kAsked, {{Trouble::kStarts, 2 * kS}}, 2 * kS},
+    {"all start", Kind::kPolled, {{Trouble::kStarts, 2 * kS}}, 2 * kS},
     {"a quarter start, their lists are 18 s old",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kStarts, 20 * kS, 0, 0.25, 18 * kS}},
      20 * kS,
      100 * kMillisecond,
      43,
      1 * kS},
     {"a tenth start, their lists are 4 s old",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kStarts, 20 * kS, 0, 0.1, 4 * kS}},
      20 * kS,
      100 * kMillisecond,
      43,
      10 * kS},
     {"all start, first calls are answered with errors for 2 s",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kStarts, 20 * kS}, {Trouble::kErrors, 20 * kS, 22 * kS}},
      22 * kS},
     {"all start, first calls are never answered for 2 s",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kStarts, 20 * kS}, {Trouble::kSilent, 20 * kS, 22 * kS}},
      22 * kS},
     {"watches break, calls are answered with errors for 8 s",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kBreaksOut, 20 * kS}, {Trouble::kErrors, 20 * kS, 28 * kS}},
      28 * kS},
     {"watches break, calls break off for 8 s",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kBreaksOut, 20 * kS}, {Trouble::kBreaksOff, 20 * kS, 28 * kS}},
      28 * kS},
     {"watches break, calls are never answered for 8 s",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kBreaksOut, 20 * kS}, {Trouble::kSilent, 20 * kS, 28 * kS}},
      28 * kS},
-    {"refuses connects for 8 s", Kind::kAsked, {{Trouble::kRefuses, 20 * kS, 28 * kS}}, 28 * kS},
+    {"refuses connects for 8 s", Kind::kPolled, {{Trouble::kRefuses, 20 * kS, 28 * kS}}, 28 * kS},
     {"refuses connects for 8 s, all start meanwhile",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kRefuses, 20 * kS, 28 * kS}, {Trouble::kStarts, 21 * kS}},
      28 * kS},
-    {"all are moved", Kind::kAsked, {{Trouble::kMoves, 20 * kS}}, 20 * kS},
+    {"all are moved", Kind::kPolled, {{Trouble::kMoves, 20 * kS}}, 20 * kS},
     {"all are moved, and their watches were silent",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kLosesOut, 19 * kS}, {Trouble::kMoves, 20 * kS}},
      20 * kS},
     {"all are moved while connects are refused",
-     Kind::kAsked,
+     Kind::kPolled,
      {{Trouble::kRefuses, 20 * kS, 28 * kS}, {Trouble::kMoves, 24 * kS}},
      28 * kS},
     {"agent: watches fall silent", Kind::kPushed, {{Trouble::kLosesOut, kAt}}, kAt},
@@ -518,7 +518,7 @@
 }
 
 TEST_CASE("faults drawn at random: nothing is sent by a list that lacks a change which counts as told") {
-  for (const Kind kind : {Kind::kAsked, Kind::kPushed}) {
+  for (const Kind kind : {Kind::kPolled, Kind::kPushed}) {
     Micros latest = -kNever;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
       CAPTURE(seed);
