--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <thread>
 
-#include "standins.h"
+#include "stand_ins.h"
 
 int main(int argc, char** argv) {
   using namespace aldersill::tools;
@@ -25,9 +25,9 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(300));
       std::printf("ran %s %s\n", job_class.c_str(), id.c_str());
       std::fflush(stdout);
-      return Fate::kDone;
+      return JobOutcome::kDone;
     };
-    HttpServer one(0, InstanceOf(run)), two(0, InstanceOf(run));
+    HttpServer one(0, JobRunningHandler(run)), two(0, JobRunningHandler(run));
     std::string servers;
     for (const HttpServer* server : {&one, &two}) {
       servers += servers.empty() ? "[" : ",";
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -11,7 +11,7 @@
 #include "core/reducer.h"
 #include "daemon_under_test.h"
 #include "player.h"
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace aldersill::tests {
 namespace {
@@ -127,7 +127,7 @@
  public:
   Service()
       : worker(0,
-               tools::InstanceOf([](const std::string&, const std::string&) { return tools::Fate::kDone; })) {
+               tools::JobRunningHandler([](const std::string&, const std::string&) { return tools::JobOutcome::kDone; })) {
     config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
     config.erase("discovery");
     config["mgmt"] = "127.0.0.1:0";
--- a/tests/daemon/attempt_crossings_test.cpp
+++ b/tests/daemon/attempt_crossings_test.cpp
@@ -13,7 +13,7 @@
 
 #include "daemon_under_test.h"
 #include "player.h"
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace aldersill::tests {
 namespace {
--- a/tests/daemon/cluster_test.cpp
+++ b/tests/daemon/cluster_test.cpp
@@ -94,7 +94,7 @@
           {"lease_ms", kLeaseMs}}}};
     daemons_[i] = std::make_unique<DaemonUnderTest>(config, own);
     REQUIRE(daemons_[i]->ports().contains("membership"));
-    relay_.SetInstance(i, daemons_[i]->ports().at("membership"));
+    relay_.SetMemberPort(i, daemons_[i]->ports().at("membership"));
   }
   static std::string Name(int i) { return "d" + std::to_string(i); }
   DaemonUnderTest& daemon(int i) { return *daemons_[i]; }
@@ -180,17 +180,17 @@
   Await("the window", [&] {
     std::size_t least = SIZE_MAX;
     for (int w = 0; w < kWorkers; ++w)
-      least = std::min(least, unshared.Since(w, from));
+      least = std::min(least, unshared.CountProbesSince(w, from));
     return least >= 90;
   });
   double worst = 1.0 / 3.0, all_shared = 0, all_unshared = 0;
   for (int w = 0; w < kWorkers; ++w) {
     const double ratio =
-        static_cast<double>(shared.Since(w, from)) / static_cast<double>(unshared.Since(w, from));
+        static_cast<double>(shared.CountProbesSince(w, from)) / static_cast<double>(unshared.CountProbesSince(w, from));
     if (std::abs(ratio - 1.0 / 3.0) > std::abs(worst - 1.0 / 3.0))
       worst = ratio;
-    all_shared += static_cast<double>(shared.Since(w, from));
-    all_unshared += static_cast<double>(unshared.Since(w, from));
+    all_shared += static_cast<double>(shared.CountProbesSince(w, from));
+    all_unshared += static_cast<double>(unshared.CountProbesSince(w, from));
   }
   MESSAGE("probes of a worker, shared against unshared: " << all_shared / all_unshared
                                                           << " in all, furthest from a third " << worst);
@@ -212,7 +212,7 @@
     CHECK(trio.daemon(victim).Wait() == -SIGKILL);
     Await("every worker is probed on", [&] {
       for (int w = 0; w < kWorkers; ++w) {
-        if (workers.Since(w, died + milliseconds(kWorkerProbeMs / 5)) == 0)
+        if (workers.CountProbesSince(w, died + milliseconds(kWorkerProbeMs / 5)) == 0)
           return false;
       }
       return true;
@@ -220,7 +220,7 @@
     // The longest that any worker went without a probe after the kill.
     double gap = 0;
     for (int w = 0; w < kWorkers; ++w) {
-      const auto probes = workers.Probes(w);
+      const auto probes = workers.ProbeTimes(w);
       const auto next = std::find_if(probes.begin(), probes.end(), [&](auto at) { return at > died; });
       gap = std::max(gap, std::chrono::duration<double>(*next - died).count());
     }
@@ -266,7 +266,7 @@
   CHECK(trio.Owned(alone) == kWorkers);
   CHECK(trio.Owned((alone + 1) % kDaemons) + trio.Owned((alone + 2) % kDaemons) == kWorkers);
   CHECK(trio.TermHeld(alone) == 0);
-  trio.relay().Mend();
+  trio.relay().HealAll();
   Await("one again", [&] {
     two |= trio.TwoHold();
     return trio.AllAlive() && trio.EachOwnedOnce();
@@ -310,7 +310,7 @@
   double longest = 0;
   for (int w = 0; w < kWorkers; ++w) {
     auto last = from;
-    for (const auto at : workers.Probes(w)) {
+    for (const auto at : workers.ProbeTimes(w)) {
       if (at < from || at > until)
         continue;
       longest = std::max(longest, std::chrono::duration<double>(at - last).count());
--- a/tests/daemon/exchanges_test.cpp
+++ b/tests/daemon/exchanges_test.cpp
@@ -48,7 +48,7 @@
   DaemonUnderTest daemon(config, settings);
   INFO("log:\n" << daemon.log());
   for (const auto& [name, port] : daemon.ports())
-    player.AddDoor(name, port);
+    player.AddDaemonListener(name, port);
   const std::string differs = player.Play(text.str());
   CHECK_MESSAGE(differs.empty(), differs);
   daemon.Signal(SIGTERM);
--- a/tests/daemon/lifecycle_test.cpp
+++ b/tests/daemon/lifecycle_test.cpp
@@ -9,7 +9,7 @@
 
 #include "daemon_under_test.h"
 #include "player.h"
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace aldersill::tests {
 namespace {
@@ -97,7 +97,7 @@
     tenant["quotaPerS"] = 1000.0;
   player.Listen("w1"), player.Listen("w2");
   DaemonUnderTest daemon(config, nlohmann::json::object());
-  player.AddDoor("http", daemon.ports().at("http"));
+  player.AddDaemonListener("http", daemon.ports().at("http"));
   const std::string served = "| HTTP/1.1 200 OK\n";
   CHECK(player.Play("accept d d1\n" + Call("d", "?index=1&wait=0") + List("d", 40, "s-1", "w1") +
                     Call("d", "?index=40&wait={*}") + Ask("a", "cobro", "r1") + "accept x w1\n" +
@@ -159,7 +159,7 @@
   player.Listen("w1");
   DaemonUnderTest daemon(config, nlohmann::json::object());
   REQUIRE(daemon.ports().contains("http"));
-  player.AddDoor("http", daemon.ports().at("http"));
+  player.AddDaemonListener("http", daemon.ports().at("http"));
   CHECK(player.Play("accept d d1\n" + Call("d", "?index=1&wait=0") + List("d", 40, "s-1", "w1") +
                     Call("d", "?index=40&wait={*}") + Ask("a", "route-check", "r1") + "accept x w1\n" +
                     Run("x", "route-check", "r1") + Done("x", "r1") + "expect a\n| HTTP/1.1 200 OK\n") == "");
@@ -214,7 +214,7 @@
                                  {"zone", "quilicura"},
                                  {"state", "SERVING"}}};
   DaemonUnderTest daemon(config, nlohmann::json::object());
-  player.AddDoor("http", daemon.ports().at("http"));
+  player.AddDaemonListener("http", daemon.ports().at("http"));
   const std::string closing =
       "| HTTP/1.1 200 OK\n| Connection: close\n| Content-Type: {*}\n| Date: {*}\n"
       "| Content-Length: 2\n|\n|- ok\n";
@@ -238,7 +238,7 @@
   tools::Player player({});
   nlohmann::json settings = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/aldersill.json");
   DaemonUnderTest daemon(Config(), settings, "ALDERSILL_FRONTS");  // its older name
-  player.AddDoor("faktory", daemon.ports().at("faktory"));
+  player.AddDaemonListener("faktory", daemon.ports().at("faktory"));
   const auto job = [](const std::string& jid) {
     return "{\"args\":[],\"custom\":{{*}},\"jid\":\"" + jid + "\",\"jobtype\":\"cobro\",{*}}\n";
   };
@@ -274,17 +274,17 @@
   tools::FaktorySlot worker(port, "w1", [](const std::string&, const std::string&) {
     std::this_thread::sleep_for(
         std::chrono::milliseconds(2));  // its running time: hardly ever is nothing out
-    return tools::Fate::kDone;
+    return tools::JobOutcome::kDone;
   });
   tools::FaktorySession producer(port);
-  while (producer.Ask("INFO").value().find("\"workers\":1") == std::string::npos) {
+  while (producer.SendCommand("INFO").value().find("\"workers\":1") == std::string::npos) {
   }
   constexpr int kBefore = 3;
   int replies = 0;
   try {
     for (;;) {
       const std::string jid = "j" + std::to_string(replies);
-      producer.Ask("PUSH {\"jid\":\"" + jid +
+      producer.SendCommand("PUSH {\"jid\":\"" + jid +
                    "\",\"jobtype\":\"certificado\",\"args\":[],\"custom\":{\"tenant\":\"hogar-del-sur\"}}");
       if (++replies == kBefore)
         daemon.Signal(SIGTERM);
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "daemon_under_test.h"
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace aldersill::tests {
 namespace {
 
-using tools::Fate;
+using tools::JobOutcome;
 using Clock = std::chrono::steady_clock;
 
 struct Class {
@@ -47,8 +47,8 @@
       const std::lock_guard lock(mutex_);
       --running_[id];
       if (run > 1)
-        return Fate::kDone;
-      return IsDropped(id) ? Fate::kDrop : IsFailed(id) ? Fate::kFail : Fate::kDone;
+        return JobOutcome::kDone;
+      return IsDropped(id) ? JobOutcome::kDrop : IsFailed(id) ? JobOutcome::kFail : JobOutcome::kDone;
     };
   }
   void Answered(const std::string& id, bool served, Clock::duration took) {
@@ -127,14 +127,14 @@
     slots.push_back(std::make_unique<tools::FaktorySlot>(port, "w" + std::to_string(i % 3), ledger.Runner()));
   // The first jobs must find a worker: until one is greeted, a push is refused.
   tools::FaktorySession info(port);
-  while (info.Ask("INFO").value().find("\"workers\":3") == std::string::npos) {
+  while (info.SendCommand("INFO").value().find("\"workers\":3") == std::string::npos) {
   }
   Play(&ledger, [port] {
     const auto session = std::make_shared<tools::FaktorySession>(port);
     return [session](const Class& c, const std::string& id) {
       const nlohmann::json job = {
           {"jid", id}, {"jobtype", c.name}, {"args", {1}}, {"custom", {{"tenant", "hogar-del-sur"}}}};
-      const std::string reply = session->Ask("PUSH " + job.dump()).value();
+      const std::string reply = session->SendCommand("PUSH " + job.dump()).value();
       CHECK((reply == "+OK" || reply.starts_with("-ERR FAILED") || reply.starts_with("-ERR NACK")));
       return reply == "+OK";
     };
@@ -159,7 +159,7 @@
   nlohmann::json servers = nlohmann::json::array();
   std::vector<std::unique_ptr<tools::HttpServer>> workers;
   for (int i = 0; i < 3; ++i) {
-    workers.push_back(std::make_unique<tools::HttpServer>(0, tools::InstanceOf(ledger.Runner())));
+    workers.push_back(std::make_unique<tools::HttpServer>(0, tools::JobRunningHandler(ledger.Runner())));
     servers.push_back({{"id", "s-" + std::to_string(i)},
                        {"addr", "127.0.0.1:" + std::to_string(workers.back()->port())},
                        {"zone", "quilicura"},
--- a/tests/daemon/snmp_test.cpp
+++ b/tests/daemon/snmp_test.cpp
@@ -6,7 +6,7 @@
 #include "daemon_under_test.h"
 #include "player.h"
 #include "snmp_probe.h"
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace aldersill::tests {
 namespace {
@@ -24,16 +24,16 @@
 
   tools::FaktorySession worker(daemon.ports().at("faktory"), "w1");
   tools::FaktorySession info(daemon.ports().at("faktory"));
-  while (info.Ask("INFO").value().find("\"workers\":1") == std::string::npos) {
+  while (info.SendCommand("INFO").value().find("\"workers\":1") == std::string::npos) {
   }
   CHECK(probe.Get(Id("1.3.0"))->value == "1");  // ready instances
   tools::FaktorySession client(daemon.ports().at("faktory"));
   client.wire().Write(
       "PUSH "
       "{\"jid\":\"j1\",\"jobtype\":\"cobro\",\"args\":[],\"custom\":{\"tenant\":\"hogar-del-sur\"}}\r\n");
-  REQUIRE(worker.Ask("FETCH default"));
+  REQUIRE(worker.SendCommand("FETCH default"));
   CHECK(probe.Get(Id("1.1.0"))->value == "1");  // open requests
-  REQUIRE(worker.Ask("ACK {\"jid\":\"j1\"}") == "+OK");
+  REQUIRE(worker.SendCommand("ACK {\"jid\":\"j1\"}") == "+OK");
   REQUIRE(client.wire().ReadLine() == "+OK");
   CHECK(probe.Get(Id("1.1.0"))->value == "0");
   CHECK(probe.Get(Id("2.1.2.3"))->value == "cobro");
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -13,7 +13,7 @@
 #include "core/reducer.h"
 #include "daemon_under_test.h"
 #include "player.h"
-#include "standins.h"
+#include "stand_ins.h"
 #include "upgrade/ban_list.h"
 #include "upgrade/job_codec.h"
 #include "upgrade/process_group.h"
@@ -146,7 +146,7 @@
 class SlowWorker {
  public:
   SlowWorker()
-      : server_(0, tools::InstanceOf([this](const std::string& id, const std::string&) { return Run(id); })) {
+      : server_(0, tools::JobRunningHandler([this](const std::string& id, const std::string&) { return Run(id); })) {
   }
   ~SlowWorker() { LetGo(); }
   std::uint16_t port() const { return server_.port(); }
@@ -161,12 +161,12 @@
   }
 
  private:
-  tools::Fate Run(const std::string& id) {
+  tools::JobOutcome Run(const std::string& id) {
     std::unique_lock lock(mutex_);
     runs_.insert(id);
     changed_.notify_all();
     changed_.wait(lock, [this] { return !held_; });
-    return tools::Fate::kDone;
+    return tools::JobOutcome::kDone;
   }
   std::mutex mutex_;
   std::condition_variable changed_;
--- a/tools/faktory_standin.cpp
+++ b/tools/faktory_standin.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <thread>
 
-#include "standins.h"
+#include "stand_ins.h"
 
 namespace {
 
@@ -19,7 +19,7 @@
   if (argc > 6)
     job["custom"]["deadline_ms"] = std::stoi(argv[6]);
   aldersill::tools::FaktorySession session(port);
-  const std::string reply = session.Ask("PUSH " + job.dump()).value_or("null");
+  const std::string reply = session.SendCommand("PUSH " + job.dump()).value_or("null");
   std::printf("%s\n", reply.c_str());
   return reply == "+OK" ? 0 : 1;
 }
@@ -29,14 +29,15 @@
   const int each = argc > 5 ? std::stoi(argv[5]) : 100;
   aldersill::tools::FaktorySession session(port, argv[3]);
   for (int done = 0; done < jobs;) {
-    const auto fetched = session.Ask("FETCH default");
+    const auto fetched = session.SendCommand("FETCH default");
     if (!fetched)
       continue;
     std::printf("%s\n", fetched->c_str());
     std::this_thread::sleep_for(std::chrono::milliseconds(each));
     const nlohmann::json job = nlohmann::json::parse(*fetched);
-    std::printf("%s\n",
-                session.Ask("ACK " + nlohmann::json{{"jid", job.at("jid")}}.dump()).value_or("null").c_str());
+    std::printf(
+        "%s\n",
+        session.SendCommand("ACK " + nlohmann::json{{"jid", job.at("jid")}}.dump()).value_or("null").c_str());
     ++done;
   }
   return 0;
--- a/tools/player.cpp
+++ b/tools/player.cpp
@@ -177,7 +177,7 @@
   };
   for (const auto& [name, listener] : listeners_)
     put(name, "127.0.0.1:" + std::to_string(PortOf(listener)));
-  for (const auto& [name, port] : doors_)
+  for (const auto& [name, port] : daemon_listeners_)
     put(name, "127.0.0.1:" + std::to_string(port));
   const std::size_t empty = text.find("\r\n\r\n");
   put("length", std::to_string(empty == std::string::npos ? 0 : text.size() - empty - 4));
@@ -197,17 +197,17 @@
     return "";
   }
   if (verb == "connect") {
-    const auto door = doors_.find(w.size() > 2 ? w[2] : w[1]);
-    if (door == doors_.end())
+    const auto listener = daemon_listeners_.find(w.size() > 2 ? w[2] : w[1]);
+    if (listener == daemon_listeners_.end())
       return "no door of that name";
-    peers_[w[1]] = Peer{ConnectTo(door->second), ""};
+    peers_[w[1]] = Peer{ConnectTo(listener->second), ""};
     return "";
   }
   if (verb == "accept") {
     if (w.size() < 3 || !listeners_.contains(w[2]))
       return "accept NAME LISTENER";
     pollfd waits{listeners_.at(w[2]).fd(), POLLIN, 0};
-    if (poll(&waits, 1, patience_ms_) != 1)
+    if (poll(&waits, 1, timeout_ms_) != 1)
       return "nobody connected to " + w[2];
     peers_[w[1]] = Peer{Socket(accept4(waits.fd, nullptr, nullptr, SOCK_CLOEXEC)), ""};
     return "";
@@ -250,7 +250,7 @@
 bool Player::ReadMore(Peer* peer, bool* ended) {
   pollfd waits{peer->socket.fd(), POLLIN, 0};
   *ended = false;
-  if (poll(&waits, 1, patience_ms_) != 1)
+  if (poll(&waits, 1, timeout_ms_) != 1)
     return false;
   char buffer[16 * 1024];
   const ssize_t n = recv(peer->socket.fd(), buffer, sizeof(buffer), 0);
--- a/tools/player.h
+++ b/tools/player.h
@@ -36,12 +36,12 @@
 class Player {
  public:
   // `doors`: where the daemon listens, by the name that `connect` uses.
-  explicit Player(std::map<std::string, std::uint16_t> doors, int patience_ms = 10'000)
-      : doors_(std::move(doors)), patience_ms_(patience_ms) {}
+  explicit Player(std::map<std::string, std::uint16_t> daemon_listeners, int timeout_ms = 10'000)
+      : daemon_listeners_(std::move(daemon_listeners)), timeout_ms_(timeout_ms) {}
 
   // Binds a stand-in's listener before the file names it; its port.
   std::uint16_t Listen(const std::string& name, std::uint16_t port = 0);
-  void AddDoor(const std::string& name, std::uint16_t port) { doors_[name] = port; }
+  void AddDaemonListener(const std::string& name, std::uint16_t port) { daemon_listeners_[name] = port; }
 
   // Empty if all went as recorded, else what differed, line numbers included.
   std::string Play(const std::string& text);
@@ -64,8 +64,8 @@
   bool ReadMore(Peer* peer, bool* ended);
   std::string Fill(const std::string& block) const;
 
-  std::map<std::string, std::uint16_t> doors_;
-  int patience_ms_;
+  std::map<std::string, std::uint16_t> daemon_listeners_;
+  int timeout_ms_;
   std::map<std::string, Socket> listeners_;
   std::map<std::string, Peer> peers_;
 };
--- a/tools/probed_workers.cpp
+++ b/tools/probed_workers.cpp
@@ -22,12 +22,12 @@
   thread_.join();
 }
 
-std::vector<ProbedWorkers::Clock::time_point> ProbedWorkers::Probes(int worker) const {
+std::vector<ProbedWorkers::Clock::time_point> ProbedWorkers::ProbeTimes(int worker) const {
   const std::lock_guard lock(mutex_);
   return probes_[static_cast<std::size_t>(worker)];
 }
 
-std::size_t ProbedWorkers::Since(int worker, Clock::time_point since) const {
+std::size_t ProbedWorkers::CountProbesSince(int worker, Clock::time_point since) const {
   const std::lock_guard lock(mutex_);
   const auto& probes = probes_[static_cast<std::size_t>(worker)];
   return static_cast<std::size_t>(
--- a/tools/probed_workers.h
+++ b/tools/probed_workers.h
@@ -22,9 +22,9 @@
 
   std::uint16_t port(int worker) const { return ports_[static_cast<std::size_t>(worker)]; }
   int size() const { return static_cast<int>(ports_.size()); }
-  std::vector<Clock::time_point> Probes(int worker) const;
+  std::vector<Clock::time_point> ProbeTimes(int worker) const;
   // How many came since.
-  std::size_t Since(int worker, Clock::time_point since) const;
+  std::size_t CountProbesSince(int worker, Clock::time_point since) const;
 
  private:
   void Serve();
--- a/tools/rehearse.cpp
+++ b/tools/rehearse.cpp
@@ -10,14 +10,15 @@
 #include "player.h"
 
 int main(int argc, char** argv) {
-  std::map<std::string, std::uint16_t> doors;
+  std::map<std::string, std::uint16_t> daemon_listeners;
   try {
     for (int i = 2; i < argc; ++i) {
-      const std::string door = argv[i];
-      const std::size_t equals = door.find('=');
+      const std::string listener = argv[i];
+      const std::size_t equals = listener.find('=');
       if (equals == std::string::npos)
-        throw std::invalid_argument(door);
-      doors[door.substr(0, equals)] = static_cast<std::uint16_t>(std::stoi(door.substr(equals + 1)));
+        throw std::invalid_argument(listener);
+      daemon_listeners[listener.substr(0, equals)] =
+          static_cast<std::uint16_t>(std::stoi(listener.substr(equals + 1)));
     }
   } catch (const std::exception& e) {
     std::fprintf(stderr, "rehearse: '%s' is not DOOR=PORT\n", e.what());
@@ -30,7 +31,7 @@
   }
   std::ostringstream text;
   text << file.rdbuf();
-  aldersill::tools::Player player(std::move(doors));
+  aldersill::tools::Player player(std::move(daemon_listeners));
   const std::string differs = player.Play(text.str());
   if (differs.empty()) {
     std::printf("%s: as recorded\n", argv[1]);
--- a/tools/snmp_probe.cpp
+++ b/tools/snmp_probe.cpp
@@ -54,21 +54,21 @@
 
 }  // namespace
 
-SnmpProbe::SnmpProbe(std::uint16_t port, std::string community, int patience_ms)
+SnmpProbe::SnmpProbe(std::uint16_t port, std::string community, int timeout_ms)
     : peer_("udp:127.0.0.1:" + std::to_string(port)),
       community_(std::move(community)),
-      patience_ms_(patience_ms) {
+      timeout_ms_(timeout_ms) {
   InitOnce();
 }
 
-std::optional<SnmpProbe::Binding> SnmpProbe::Ask(Kind kind, const std::string& id, long value) {
+std::optional<SnmpProbe::Binding> SnmpProbe::SendRequest(Kind kind, const std::string& id, long value) {
   netsnmp_session wanted;
   snmp_sess_init(&wanted);
   wanted.version = SNMP_VERSION_2c;
   wanted.peername = peer_.data();
   wanted.community = reinterpret_cast<u_char*>(community_.data());
   wanted.community_len = community_.size();
-  wanted.timeout = patience_ms_ * 1000L;
+  wanted.timeout = timeout_ms_ * 1000L;
   wanted.retries = 0;
   void* session = snmp_sess_open(&wanted);
   if (session == nullptr)
--- a/tools/standins.cpp
+++ b/tools/stand_ins.cpp
@@ -1,4 +1,4 @@
-#include "standins.h"
+#include "stand_ins.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -59,12 +59,12 @@
   nlohmann::json hello = {{"v", 2}};
   if (!wid.empty())
     hello.update({{"wid", wid}, {"hostname", "localhost"}, {"pid", 1}, {"labels", nlohmann::json::array()}});
-  const auto reply = Ask("HELLO " + hello.dump());
+  const auto reply = SendCommand("HELLO " + hello.dump());
   if (reply != "+OK")
     throw std::runtime_error("not welcome: " + reply.value_or("null"));
 }
 
-std::optional<std::string> FaktorySession::Ask(const std::string& command) {
+std::optional<std::string> FaktorySession::SendCommand(const std::string& command) {
   wire_.Write(command + "\r\n");
   std::string line = wire_.ReadLine();
   if (line == "$-1")
@@ -101,17 +101,18 @@
       }
       try {
         while (!stop_) {
-          const auto fetched = session.Ask("FETCH default");
+          const auto fetched = session.SendCommand("FETCH default");
           if (!fetched)
             continue;
           if (!fetched->starts_with("{"))
             throw std::runtime_error("FETCH: " + *fetched);
           const nlohmann::json job = nlohmann::json::parse(*fetched);
           const std::string jid = job.at("jid");
-          const Fate fate = run_(jid, job.at("jobtype"));
-          if (fate == Fate::kDrop)
+          const JobOutcome outcome = run_(jid, job.at("jobtype"));
+          if (outcome == JobOutcome::kDrop)
             break;
-          session.Ask((fate == Fate::kDone ? "ACK " : "FAIL ") + nlohmann::json{{"jid", jid}}.dump());
+          session.SendCommand((outcome == JobOutcome::kDone ? "ACK " : "FAIL ") +
+                              nlohmann::json{{"jid", jid}}.dump());
         }
       } catch (const std::exception&) {  // the daemon closed it: greet again
       }
@@ -200,13 +201,13 @@
   }
 }
 
-HttpServer::Serve InstanceOf(RunJob run) {
+HttpServer::Serve JobRunningHandler(RunJob run) {
   return [run = std::move(run)](const HttpMessage& request) -> std::optional<std::string> {
     const std::string id = request.Header("Req-Id");
-    const Fate fate = run(id, request.Header("Req-Kind"));
-    if (fate == Fate::kDrop)
+    const JobOutcome outcome = run(id, request.Header("Req-Kind"));
+    if (outcome == JobOutcome::kDrop)
       return std::nullopt;
-    const char* state = fate == Fate::kDone ? "done" : "failed";
+    const char* state = outcome == JobOutcome::kDone ? "done" : "failed";
     const std::string line =
         nlohmann::json{{"id", id}, {"state", state}, {"result", "ran " + id}}.dump() + "\n";
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size()) + "\r\n\r\n" + line;
--- a/tools/standins.h
+++ b/tools/stand_ins.h
@@ -1,8 +1,8 @@
 // Stand-ins for the outside, written from the public specifications: Faktory clients and workers, the
 // platform's service clients, instances and discovery. Blocking, loopback only, and no load: each does one
 // thing at a time. The tests, the command-line tools and the examples share them.
-#ifndef ALDERSILL_TOOLS_STANDINS_H_
-#define ALDERSILL_TOOLS_STANDINS_H_
+#ifndef ALDERSILL_TOOLS_STAND_INS_H_
+#define ALDERSILL_TOOLS_STAND_INS_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -34,15 +34,15 @@
 };
 
 // What becomes of a job that a worker stand-in was given.
-enum class Fate { kDone, kFail, kDrop };
-using RunJob = std::function<Fate(const std::string& id, const std::string& job_class)>;
+enum class JobOutcome { kDone, kFail, kDrop };
+using RunJob = std::function<JobOutcome(const std::string& id, const std::string& job_class)>;
 
 class FaktorySession {
  public:
   // Greets; with a wid as a worker.
   FaktorySession(std::uint16_t port, const std::string& wid = "");
   // One command, one reply: the line of a simple reply, or a bulk's text; nothing for a null bulk.
-  std::optional<std::string> Ask(const std::string& command);
+  std::optional<std::string> SendCommand(const std::string& command);
   Wire& wire() { return wire_; }
 
  private:
@@ -98,7 +98,7 @@
 };
 
 // An instance that runs jobs, and discovery that names instances and has no news after that.
-HttpServer::Serve InstanceOf(RunJob run);
+HttpServer::Serve JobRunningHandler(RunJob run);
 class StandInDiscovery {
  public:
   StandInDiscovery(std::uint16_t port, std::string servers_json);
@@ -114,4 +114,4 @@
 
 }  // namespace aldersill::tools
 
-#endif  // ALDERSILL_TOOLS_STANDINS_H_
+#endif  // ALDERSILL_TOOLS_STAND_INS_H_
--- a/tools/udp_relay.cpp
+++ b/tools/udp_relay.cpp
@@ -25,7 +25,7 @@
   thread_.join();
 }
 
-void UdpRelay::SetInstance(int instance, std::uint16_t port) {
+void UdpRelay::SetMemberPort(int instance, std::uint16_t port) {
   const std::lock_guard lock(mutex_);
   real_[static_cast<std::size_t>(instance)] = port;
 }
@@ -35,7 +35,7 @@
   cuts_.insert({from, to});
 }
 
-void UdpRelay::Mend() {
+void UdpRelay::HealAll() {
   const std::lock_guard lock(mutex_);
   cuts_.clear();
 }
--- a/tools/udp_relay.h
+++ b/tools/udp_relay.h
@@ -22,9 +22,9 @@
   ~UdpRelay();
 
   std::uint16_t port(int instance) const { return ports_[instance]; }  // where it is reached
-  void SetInstance(int instance, std::uint16_t port);                  // where it really is
+  void SetMemberPort(int instance, std::uint16_t port);                // where it really is
   void Cut(int from, int to);
-  void Mend();
+  void HealAll();
   std::uint64_t dropped() const { return dropped_; }
 
  private:
