--- /dev/null
+++ b/tests/daemon/core_digest_test.cpp
@@ -0,0 +1,46 @@
+// Random event sequences against the reducer, compared with recorded digests of its effects. A change that is
+// meant to keep the reducer's behavior must keep every digest; see RecordedDigests() for a meant change.
+#include <doctest/doctest.h>
+
+#include <cstdint>
+#include <fstream>
+#include <ios>
+#include <map>
+
+#include "random_core_run.h"
+
+namespace aldersill {
+namespace {
+
+using DigestsBySeed = std::map<std::uint64_t, std::uint64_t>;
+
+// Lines of "seed digest". For a change that is meant to alter effects: the test leaves core_digests.txt in
+// its working directory, to be reviewed and copied over the recorded one.
+DigestsBySeed RecordedDigests() {
+  std::ifstream file(ALDERSILL_CORE_DIGESTS);
+  REQUIRE(file);
+  DigestsBySeed digests;
+  std::uint64_t seed = 0;
+  while (file >> std::dec >> seed)
+    file >> std::hex >> digests[seed];
+  return digests;
+}
+
+TEST_CASE("the same events give the same effects and counters as recorded") {
+  const DigestsBySeed recorded = RecordedDigests();
+  CHECK(recorded.size() == 2'000);
+  std::ofstream computed("core_digests.txt");
+  std::uint64_t first_different = 0;
+  for (std::uint64_t seed = 1; seed <= ALDERSILL_CORE_DIGEST_SEEDS; ++seed) {
+    const std::uint64_t digest = RandomCoreRun(seed).DigestOfRun();
+    computed << std::dec << seed << ' ' << std::hex << digest << '\n';
+    const auto expected = recorded.find(seed);
+    if (first_different == 0 && (expected == recorded.end() || expected->second != digest))
+      first_different = seed;
+  }
+  INFO("first seed that differs: ", first_different);
+  CHECK(first_different == 0);
+}
+
+}  // namespace
+}  // namespace aldersill
