--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -180,6 +180,8 @@
   std::vector<duties::LeaseEffect> effects;
   instances_[i].lease->Handle(LocalTime(i), std::move(event), &effects);
   for (duties::LeaseEffect& effect : effects) {
+    if (on_lease_effect)
+      on_lease_effect(i, effect);
     if (auto* send = std::get_if<duties::SendTo>(&effect)) {
       Send(i, Number(send->to), std::move(send->message));
     } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
@@ -196,6 +198,8 @@
   std::vector<budgets::QuotaClientEffect> effects;
   instances_[i].quota_client->Handle(LocalTime(i), std::move(event), &effects);
   for (budgets::QuotaClientEffect& effect : effects) {
+    if (on_quota_client_effect)
+      on_quota_client_effect(i, effect);
     if (auto* send = std::get_if<budgets::SendQuotaRequest>(&effect)) {
       if (!on_ask || on_ask(i, Number(send->to), send->ask))
         Send(i, Number(send->to), std::move(send->ask));
@@ -216,6 +220,8 @@
     ++grantor_asks;
   }
   for (budgets::QuotaAllocatorEffect& effect : effects) {
+    if (on_quota_allocator_effect)
+      on_quota_allocator_effect(i, effect);
     if (auto* send = std::get_if<budgets::SendQuotaGrant>(&effect)) {
       Send(i, Number(send->to), std::move(send->answer));
     } else if (on_error) {
--- a/tools/virtual_budgets/virtual_budgets.h
+++ b/tools/virtual_budgets/virtual_budgets.h
@@ -86,6 +86,11 @@
   // Takes part in what is sent: return false to lose it.
   std::function<bool(int, int, const budgets::QuotaRequest&)> on_ask;
 
+  // Every effect of the three cores, before it is carried out.
+  std::function<void(int, const duties::LeaseEffect&)> on_lease_effect;
+  std::function<void(int, const budgets::QuotaClientEffect&)> on_quota_client_effect;
+  std::function<void(int, const budgets::QuotaAllocatorEffect&)> on_quota_allocator_effect;
+
   std::uint64_t packets = 0, bytes = 0;
   // What the grantors' own work took of real time, and how many asks that was.
   double grantor_seconds = 0;
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -165,6 +165,8 @@
   std::vector<cluster::Effect> effects;
   instances_[i].core->Handle(LocalTime(i), std::move(event), &effects);
   for (cluster::Effect& effect : effects) {
+    if (on_effect)
+      on_effect(i, effect);
     if (auto* send = std::get_if<cluster::Send>(&effect)) {
       Do(i, std::move(*send));
     } else if (auto* probe = std::get_if<cluster::Probe>(&effect)) {
@@ -180,8 +182,6 @@
     }
   }
   SetTimer(i);
-  if (after_each)
-    after_each();
 }
 
 void VirtualCluster::SetTimer(int i) {
--- a/tools/virtual_cluster/virtual_cluster.h
+++ b/tools/virtual_cluster/virtual_cluster.h
@@ -71,8 +71,8 @@
   std::function<void(int, const membership::MembershipChange&)> on_news;
   std::function<void(int, const cluster::LeaseChange&)> on_lease;
   std::function<void(int, const duties::ProbeResult&)> on_result;
-  std::function<void(int, const std::string&)> on_probe;  // a worker is probed by an instance
-  std::function<void()> after_each;
+  std::function<void(int, const std::string&)> on_probe;       // a worker is probed by an instance
+  std::function<void(int, const cluster::Effect&)> on_effect;  // every effect, before it is carried out
 
   struct Sent {
     std::uint64_t packets = 0, bytes = 0;
