--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -7,7 +7,7 @@
 namespace aldersill::admin {
 namespace {
 
-std::vector<std::string> WordsOf(std::string_view line) {
+std::vector<std::string> SplitWords(std::string_view line) {
   std::istringstream text{std::string(line)};
   std::vector<std::string> words;
   for (std::string word; text >> word;)
@@ -15,31 +15,39 @@
   return words;
 }
 
-bool Printable(const std::string& word) {
-  return std::ranges::all_of(word, [](unsigned char c) { return c > ' ' && c < 127; });
+bool IsPrintable(std::string_view word) {
+  return std::ranges::all_of(word, [](unsigned char byte) { return byte > ' ' && byte < 127; });
+}
+
+// OFFLINE or ONLINE with its arguments.
+Command ParseBanCommand(const std::vector<std::string>& words) {
+  const std::string& name = words.front();
+  if (words.size() != 2)
+    return BadCommand{name + " takes one worker's id"};
+  const std::string& worker = words[1];
+  if (!IsPrintable(worker))
+    return BadCommand{name + ": the id holds bytes that no id has"};
+  if (name == "OFFLINE")
+    return Offline{worker};
+  return Online{worker};
 }
 
 }  // namespace
 
 Command ParseCommand(std::string_view line) {
-  const std::vector<std::string> words = WordsOf(line);
+  const std::vector<std::string> words = SplitWords(line);
   if (words.empty())
     return BadCommand{"no command: HEALTH, DUMP, OFFLINE ID or ONLINE ID is wanted"};
-  const std::string& name = words[0];
-  const bool takes_worker = name == "OFFLINE" || name == "ONLINE";
-  if (!takes_worker && name != "HEALTH" && name != "DUMP")
+  const std::string& name = words.front();
+  if (name == "OFFLINE" || name == "ONLINE")
+    return ParseBanCommand(words);
+  if (name != "HEALTH" && name != "DUMP")
     return BadCommand{"unknown command: HEALTH, DUMP, OFFLINE ID or ONLINE ID is wanted"};
-  if (words.size() != (takes_worker ? 2 : 1))
-    return BadCommand{name + (takes_worker ? " takes one worker's id" : " takes nothing else")};
+  if (words.size() != 1)
+    return BadCommand{name + " takes nothing else"};
   if (name == "HEALTH")
     return Health{};
-  if (name == "DUMP")
-    return Dump{};
-  if (!Printable(words[1]))
-    return BadCommand{name + ": the id holds bytes that no id has"};
-  if (name == "OFFLINE")
-    return Offline{words[1]};
-  return Online{words[1]};
+  return Dump{};
 }
 
 }  // namespace aldersill::admin
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,4 +1,4 @@
-// The calls that operators make at the management address, as typed values. Pure.
+// The commands that operators send to the management address (`mgmt`), as typed values. Pure.
 #ifndef ALDERSILL_SRC_ADMIN_COMMAND_H_
 #define ALDERSILL_SRC_ADMIN_COMMAND_H_
 
@@ -8,20 +8,25 @@
 
 namespace aldersill::admin {
 
+// HEALTH: does this process take clients?
 struct Health {};
+// DUMP: all figures (figures.h).
 struct Dump {};
+// OFFLINE ID: bans a worker.
 struct Offline {
-  std::string worker;
+  std::string worker;  // its id
 };
+// ONLINE ID: lifts the ban.
 struct Online {
-  std::string worker;
+  std::string worker;  // its id
 };
+// A line that is no command.
 struct BadCommand {
-  std::string why;  // one line for the operator
+  std::string reason;  // one line for the operator, without its end
 };
 using Command = std::variant<Health, Dump, Offline, Online, BadCommand>;
 
-// `line`: without its end. Words are told apart by spaces; a worker's id holds none.
+// `line`: without its end. Words are separated by white space; a worker's id contains none.
 Command ParseCommand(std::string_view line);
 
 }  // namespace aldersill::admin
--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -1,34 +1,43 @@
 #include "admin/figures.h"
 
 #include <cstdint>
+#include <string_view>
 
 namespace aldersill::admin {
 namespace {
 
-void AddCounter(const std::string& name, std::uint64_t value, std::string* text) {
-  *text += "app." + name + ":" + std::to_string(value) + "|c\n";
-}
+// Collects figures under their published names.
+class FigureWriter {
+ public:
+  void AddCounter(std::string_view name, std::uint64_t value) { AddLine(name, value, "c"); }
+  void AddGauge(std::string_view name, std::uint64_t value) { AddLine(name, value, "g"); }
+  const std::string& text() const { return text_; }
 
-void AddGauge(const std::string& name, std::uint64_t value, std::string* text) {
-  *text += "app." + name + ":" + std::to_string(value) + "|g\n";
-}
+ private:
+  void AddLine(std::string_view name, std::uint64_t value, std::string_view type) {
+    text_.append("app.").append(name).append(":").append(std::to_string(value));
+    text_.append("|").append(type).append("\n");
+  }
+
+  std::string text_;
+};
 
 }  // namespace
 
 std::string EncodeFigures(const Counters& counters, std::size_t avoided_workers) {
-  std::string text;
-  for (const ClassCounters& c : counters.classes) {
-    AddCounter("success." + c.name, c.served, &text);
-    AddCounter("busy." + c.name, c.rejected, &text);
-    AddCounter("failure." + c.name, c.failed, &text);
+  FigureWriter figures;
+  for (const ClassCounters& job_class : counters.classes) {
+    figures.AddCounter("success." + job_class.name, job_class.served);
+    figures.AddCounter("busy." + job_class.name, job_class.rejected);
+    figures.AddCounter("failure." + job_class.name, job_class.failed);
   }
-  AddCounter("backend_calls", counters.attempts_sent, &text);
-  AddGauge("inflight", counters.waiting_clients, &text);
-  AddGauge("hosts_listed", counters.ready_workers + counters.draining_workers, &text);
-  AddGauge("hosts_down", avoided_workers, &text);
-  AddCounter("reconfig_ok", counters.reconfigurations, &text);
-  AddCounter("reconfig_failed", counters.reconfigurations_refused, &text);
-  return text;
+  figures.AddCounter("backend_calls", counters.attempts_sent);
+  figures.AddGauge("inflight", counters.waiting_clients);
+  figures.AddGauge("hosts_listed", counters.ready_workers + counters.draining_workers);
+  figures.AddGauge("hosts_down", avoided_workers);
+  figures.AddCounter("reconfig_ok", counters.reconfigurations);
+  figures.AddCounter("reconfig_failed", counters.reconfigurations_refused);
+  return figures.text();
 }
 
 }  // namespace aldersill::admin
--- a/src/admin/figures.h
+++ b/src/admin/figures.h
@@ -1,5 +1,5 @@
-// The figures that DUMP gives, as statsd writes them: a name, a value and c for a counter or g for a gauge.
-// Pure.
+// The figures that DUMP prints, in the text format of statsd: a name, a value, and c for a counter or g for a
+// gauge. Pure.
 #ifndef ALDERSILL_SRC_ADMIN_FIGURES_H_
 #define ALDERSILL_SRC_ADMIN_FIGURES_H_
 
@@ -10,8 +10,8 @@
 
 namespace aldersill::admin {
 
-// One line a figure, each with its end. Classes that the settings have dropped keep their counts.
-// `avoided_workers`: listed ones that get nothing new now.
+// One figure a line, each with its line end. Classes that a reload has removed keep their counters.
+// `avoided_workers`: listed workers that get no new attempts now.
 std::string EncodeFigures(const Counters& counters, std::size_t avoided_workers);
 
 }  // namespace aldersill::admin
--- a/src/daemon/admin_component.cpp
+++ b/src/daemon/admin_component.cpp
@@ -1,64 +1,73 @@
-// The operators' address: whether this process takes clients, its figures, and bans. Off without `mgmt`.
+// The operators' address (`mgmt`): health, figures and bans, one command a connection. Off without `mgmt`.
 #include <optional>
+#include <utility>
 
 #include "admin/command.h"
 #include "admin/figures.h"
 #include "daemon/components.h"
+#include "daemon/descriptor_shares.h"
+#include "daemon/listener_log.h"
 #include "log/log.h"
 #include "net/line_server.h"
 
 namespace aldersill {
 namespace {
 
-// A few callers connect and finish no call for 4 s; those that do are answered beside them.
-constexpr LineServer::Limits kLimits{kAdminConnections, 512, 6 * kSecond};
+// Some callers connect and finish no command for 4 s; others must be answered beside them.
+constexpr LineServer::Limits kLimits{kMaxAdminConnections, 512, 6 * kSecond};
 
 class AdminComponent : public Component {
  public:
   explicit AdminComponent(const ComponentContext& context)
-      : context_(context), server_(context.base, kLimits, [this](const std::string& line) {
-          return std::visit([this](const auto& command) { return On(command); }, admin::ParseCommand(line));
-        }) {}
+      : context_(context),
+        server_(context.base, kLimits, [this](const std::string& line) { return Execute(line); }) {}
 
-  void Start(const Config& c) override {
-    PrepareReload(c);
-    ApplyReload(c);
+  void Start(const Config& config) override {
+    PrepareReload(config);
+    ApplyReload(config);
   }
+
   void OnAllStarted() override {
     if (!address_)
       return;
     const int port = PortOf(evconnlistener_get_fd(const_cast<evconnlistener*>(server_.listener())));
-    Log(LogLevel::kInfo, "door",
-        {{"name", "mgmt"}, {"address", address_->host + ":" + std::to_string(port)}});
+    LogListener("mgmt", address_->host, port);
   }
+
   void PrepareReload(const Config& next) override {
     if (next.mgmt && next.mgmt != address_)
-      opened_ = ListenOn(context_.base, *next.mgmt, "mgmt", &LineServer::OnAccept, &server_);
+      prepared_listener_ = ListenOn(context_.base, *next.mgmt, "mgmt", &LineServer::OnAccept, &server_);
   }
-  void CancelReload() override { opened_.reset(); }
-  void ApplyReload(const Config& c) override {
-    if (c.mgmt == address_)
+  void CancelReload() override { prepared_listener_.reset(); }
+  void ApplyReload(const Config& config) override {
+    if (config.mgmt == address_)
       return;
-    address_ = c.mgmt;
-    server_.Listen(std::move(opened_));
+    address_ = config.mgmt;
+    server_.Listen(std::move(prepared_listener_));
   }
 
  private:
-  std::string On(const admin::Health&) {
-    const std::string why_not = context_.registry->why_not_ready ? context_.registry->why_not_ready() : "";
-    return why_not.empty() ? "OK takes clients\n" : "ERR " + why_not + "\n";
+  // The answer to one line of a caller, complete with its line ends.
+  std::string Execute(const std::string& line) {
+    return std::visit([this](const auto& command) { return Apply(command); }, admin::ParseCommand(line));
+  }
+
+  std::string Apply(const admin::Health& /*health*/) const {
+    const auto& readiness_failure = context_.registry->operators.readiness_failure;
+    const std::string failure = readiness_failure ? readiness_failure() : "";
+    return failure.empty() ? "OK takes clients\n" : "ERR " + failure + "\n";
   }
-  std::string On(const admin::Dump&) {
+  std::string Apply(const admin::Dump& /*dump*/) const {
     return admin::EncodeFigures(context_.reducer->counters(), context_.reducer->AvoidedWorkers()) + "END\n";
   }
-  std::string On(const admin::Offline& call) { return Ban(call.worker, true); }
-  std::string On(const admin::Online& call) { return Ban(call.worker, false); }
-  std::string On(const admin::BadCommand& call) { return "ERR " + call.why + "\n"; }
+  std::string Apply(const admin::Offline& command) const { return SetBan(command.worker, true); }
+  std::string Apply(const admin::Online& command) const { return SetBan(command.worker, false); }
+  std::string Apply(const admin::BadCommand& command) const { return "ERR " + command.reason + "\n"; }
 
-  std::string Ban(const std::string& worker, bool banned) {
+  std::string SetBan(const std::string& worker, bool banned) const {
     if (!context_.reducer->EverListed(worker))
       return "ERR " + worker + " has never been in the worker list of this dispatcher\n";
-    context_.registry->keep_ban(worker, banned);
+    context_.registry->process_group.set_ban(worker, banned);
     Log(LogLevel::kInfo, banned ? "worker_offline" : "worker_online", {{"worker", worker}});
     return "OK " + worker + (banned ? " is left out until ONLINE\n" : " is put back\n");
   }
@@ -66,7 +75,7 @@
   const ComponentContext context_;
   LineServer server_;
   std::optional<Endpoint> address_;
-  EventPtr<evconnlistener> opened_;  // for a configuration that is not yet taken over
+  EventPtr<evconnlistener> prepared_listener_;  // set between PrepareReload and ApplyReload
 };
 
 }  // namespace
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -1,12 +1,18 @@
-// Instances that know one another: the cluster's core on a UDP socket and a timer, probes over the platform's
-// links, results to the decision module. Off unless the operator's file turns it on.
+// The cluster of dispatchers: runs the cluster's pure core on a UDP socket and a timer, carries out its
+// health checks over the platform component's worker client, and passes their results to the dispatcher's
+// core. Off unless the operator's file turns membership on.
+#include <algorithm>
+#include <cstdint>
 #include <deque>
 #include <nlohmann/json.hpp>
+#include <string>
 #include <utility>
+#include <vector>
 
 #include "cluster/cluster.h"
 #include "cluster/objects.h"
 #include "daemon/components.h"
+#include "daemon/listener_log.h"
 #include "log/log.h"
 #include "membership/transport.h"
 #include "net/message_pack.h"
@@ -14,66 +20,65 @@
 namespace aldersill {
 namespace {
 
-// How soon a change of the name table reaches the division of the workers.
-constexpr Micros kLookAtNames = 100 * kMillisecond;
-
-cluster::Settings ForCluster(const Config& c, const std::string& address) {
-  cluster::Settings s;
-  s.membership = c.own.membership.core;
-  s.membership.name = c.name;
-  s.membership.address = address;
-  if (c.own.duties.probing) {
-    s.probing = c.own.duties.probes;
-    s.probing->name = c.name;
-  }
-  s.exclusive = c.own.duties.exclusive;
-  s.voters = c.own.duties.voters;
-  s.lease = c.own.duties.lease;
-  s.most_drift = c.own.duties.most_drift;
-  return s;
+// How soon a change of the endpoint list reaches the division of the workers among the members.
+constexpr Micros kWorkersCheckInterval = 100 * kMillisecond;
+
+cluster::Settings ClusterSettingsFrom(const Config& config, const std::string& advertised_address) {
+  cluster::Settings settings;
+  settings.membership = config.own.membership.core;
+  settings.membership.name = config.name;
+  settings.membership.address = advertised_address;
+  if (config.own.duties.probing) {
+    settings.probing = config.own.duties.probes;
+    settings.probing->name = config.name;
+  }
+  settings.exclusive = config.own.duties.exclusive;
+  settings.voters = config.own.duties.voters;
+  settings.lease = config.own.duties.lease;
+  settings.most_drift = config.own.duties.most_drift;
+  return settings;
+}
+
+void CheckName(const std::string& name) {
+  if (name.empty() || name.size() > kMostMessageName)
+    throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
+                      " bytes where membership is on");
 }
 
 class ClusterComponent : public Component {
  public:
   explicit ClusterComponent(const ComponentContext& context)
       : context_(context),
-        timer_(context.base, [this] { Post(cluster::TimerExpired{}); }),
-        names_timer_(context.base, [this] { LookAtNames(); }) {}
-
-  void Start(const Config& c) override {
-    membership_ = c.own.membership;
-    duties_ = c.own.duties;
-    Offer();
+        core_timer_(context.base, [this] { Post(cluster::TimerExpired{}); }),
+        workers_timer_(context.base, [this] { PostWorkersIfChanged(); }) {}
+
+  void Start(const Config& config) override {
+    membership_ = config.own.membership;
+    duties_ = config.own.duties;
+    RegisterQueries();
+    RegisterSnmpObjects();
     if (!membership_.enabled)
       return;
-    if (c.name.empty() || c.name.size() > kMostMessageName)
-      throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
-                        " bytes where membership is on");
-    transport_ = std::make_unique<membership::Transport>(
-        context_.base, membership_.listen, membership::ReadKeys(membership_.key_file), context_.now,
-        [this](std::string address, membership::Packet packet) {
-          Post(cluster::PacketReceived{std::move(address), std::move(packet)});
-        });
-    const Endpoint own{membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
-    address_ = membership_.advertise.empty() ? ToText(own) : membership_.advertise;
-    core_ = std::make_unique<cluster::Cluster>(ForCluster(c, address_),
-                                               c.seed ^ static_cast<std::uint64_t>(context_.now()));
-    // The module's own wish for a probe is met by what all instances' probes bring.
+    CheckName(config.name);
+    OpenTransport();
+    advertised_address_ = membership_.advertise.empty() ? ToText(ListenAddress()) : membership_.advertise;
+    core_ = std::make_unique<cluster::Cluster>(ClusterSettingsFrom(config, advertised_address_),
+                                               config.seed ^ static_cast<std::uint64_t>(context_.now()));
+    // The results of all members' health checks arrive here, so the core's own requests need no check.
     if (duties_.probing)
-      context_.registry->probe = [](const ProbeWorker&) {};
+      context_.registry->effects.probe = [](const ProbeWorker&) {};
   }
 
   void OnAllStarted() override {
     if (core_ == nullptr)
       return;
-    Log(LogLevel::kInfo, "door",
-        {{"name", "membership"},
-         {"address", ToText({membership_.listen.host, static_cast<std::uint16_t>(transport_->port())})},
-         {"advertised", address_}});
+    Log(LogLevel::kInfo, kListenerLogEvent,
+        {{"name", "membership"}, {"address", ToText(ListenAddress())}, {"advertised", advertised_address_}});
     Post(cluster::Start{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
-    LookAtNames();
+    PostWorkersIfChanged();
   }
 
+  // Only the keys may change while the program runs.
   void PrepareReload(const Config& next) override {
     if (!(next.own.membership == membership_))
       throw ConfigError("membership cannot change while the program runs");
@@ -82,12 +87,12 @@
     if (core_ != nullptr && next.name != core_->members().settings().name)
       throw ConfigError("name cannot change while the program runs, as others know it");
     if (transport_ != nullptr)
-      keys_ = membership::ReadKeys(membership_.key_file);
+      prepared_keys_ = membership::ReadKeys(membership_.key_file);
   }
-  void CancelReload() override { keys_.clear(); }
-  void ApplyReload(const Config&) override {
+  void CancelReload() override { prepared_keys_.clear(); }
+  void ApplyReload(const Config& /*config*/) override {
     if (transport_ != nullptr)
-      transport_->ReplaceKeys(std::exchange(keys_, {}));
+      transport_->ReplaceKeys(std::exchange(prepared_keys_, {}));
   }
 
   void BeginDrain() override {
@@ -96,24 +101,41 @@
   }
 
  private:
-  void Offer() {
-    context_.registry->questions["members"] = [this] {
-      nlohmann::json json = cluster::MembersAsJson(core_.get());
-      for (std::size_t i = 0; transport_ != nullptr && i < transport_->sealer().dropped().size(); ++i)
-        json["dropped"][membership::Name(static_cast<membership::Dropped>(i))] =
-            transport_->sealer().dropped()[i];
-      return json.dump();
-    };
-    context_.registry->questions["duties"] = [this] {
-      return cluster::DutiesAsJson(core_.get(), context_.now()).dump();
-    };
-    context_.registry->snmp_objects.push_back([this](snmp::ObjectMap* objects) {
+  void OpenTransport() {
+    transport_ = std::make_unique<membership::Transport>(
+        context_.base, membership_.listen, membership::ReadKeys(membership_.key_file), context_.now,
+        [this](std::string address, membership::Packet packet) {
+          Post(cluster::PacketReceived{std::move(address), std::move(packet)});
+        });
+  }
+  // With the port that the kernel chose where the settings name none.
+  Endpoint ListenAddress() const {
+    return {membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
+  }
+
+  void RegisterQueries() {
+    auto& queries = context_.registry->operators.control_queries;
+    queries["members"] = [this] { return MembersJson().dump(); };
+    queries["duties"] = [this] { return cluster::DutiesAsJson(core_.get(), context_.now()).dump(); };
+  }
+  nlohmann::json MembersJson() const {
+    nlohmann::json json = cluster::MembersAsJson(core_.get());
+    if (transport_ == nullptr)
+      return json;
+    const auto& dropped = transport_->sealer().dropped();
+    for (std::size_t i = 0; i < dropped.size(); ++i)
+      json["dropped"][membership::Name(static_cast<membership::Dropped>(i))] = dropped[i];
+    return json;
+  }
+  void RegisterSnmpObjects() {
+    context_.registry->operators.snmp_object_providers.emplace_back([this](snmp::ObjectMap* objects) {
       if (core_ != nullptr)
         cluster::AddObjects(*core_, transport_->counters(), transport_->sealer(), context_.now(), objects);
     });
   }
 
-  // An effect may bring an event at once: it waits until the effects before it are carried out.
+  // Passes the event to the cluster's core and carries out its effects. An event posted by an effect is
+  // queued until the effects before it are all carried out.
   void Post(cluster::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(handling_, true))
@@ -121,63 +143,71 @@
     while (!events_.empty()) {
       cluster::Event next = std::move(events_.front());
       events_.pop_front();
-      std::vector<cluster::Effect> effects;
-      core_->Handle(context_.now(), std::move(next), &effects);
-      for (cluster::Effect& effect : effects) {
-        std::visit([this](auto&& e) { Do(std::move(e)); }, std::move(effect));
-      }
+      Handle(std::move(next));
     }
     handling_ = false;
     if (const Micros due = core_->next_due(); due != INT64_MAX)
-      timer_.Set(std::max<Micros>(0, due - context_.now()));
+      core_timer_.Set(std::max<Micros>(0, due - context_.now()));
+  }
+  void Handle(cluster::Event event) {
+    std::vector<cluster::Effect> effects;
+    core_->Handle(context_.now(), std::move(event), &effects);
+    for (const cluster::Effect& effect : effects)
+      std::visit([this](const auto& typed_effect) { Perform(typed_effect); }, effect);
   }
 
-  void Do(cluster::Send&& e) { transport_->Send(e.address, e.packet); }
-  void Do(cluster::Probe&& e) {
-    context_.registry->probe_for({e.worker, e.address}, [this, number = e.number](ProbeCompleted answered) {
-      Post(cluster::ProbeCompleted{number, answered.outcome, answered.elapsed, answered.report});
-    });
+  void Perform(const cluster::Send& send) { transport_->Send(send.address, send.packet); }
+  void Perform(const cluster::Probe& probe) {
+    context_.registry->probe_with_callback(
+        {probe.worker, probe.address}, [this, number = probe.number](const ProbeCompleted& completed) {
+          Post(cluster::ProbeCompleted{number, completed.outcome, completed.elapsed, completed.report});
+        });
   }
-  void Do(cluster::Result&& e) {
-    context_.sink->Post(ProbeCompleted{e.result.worker, e.result.outcome, e.result.elapsed, e.result.report});
+  void Perform(const cluster::Result& shared) {
+    const auto& result = shared.result;
+    context_.sink->Post(ProbeCompleted{result.worker, result.outcome, result.elapsed, result.report});
   }
-  void Do(membership::MembershipChange&& e) {
+  void Perform(const membership::MembershipChange& change) {
     using What = membership::MembershipChange::What;
-    Log(e.what == What::kDead || e.what == What::kSuspect ? LogLevel::kWarning : LogLevel::kInfo,
-        std::string("member_") + cluster::Name(e.what),
-        {{"member", e.member.name},
-         {"address", e.member.address},
-         {"epoch", e.member.incarnation.epoch},
-         {"by", e.member.accuser}});
+    const bool lost = change.what == What::kDead || change.what == What::kSuspect;
+    Log(lost ? LogLevel::kWarning : LogLevel::kInfo, std::string("member_") + cluster::Name(change.what),
+        {{"member", change.member.name},
+         {"address", change.member.address},
+         {"epoch", change.member.incarnation.epoch},
+         {"by", change.member.accuser}});
   }
-  void Do(cluster::LeaseChange&& e) {
-    Log(LogLevel::kInfo, e.taken ? "duty_taken" : "duty_lost", {{"duty", e.duty}, {"term", e.term}});
+  void Perform(const cluster::LeaseChange& change) {
+    Log(LogLevel::kInfo, change.taken ? "duty_taken" : "duty_lost",
+        {{"duty", change.duty}, {"term", change.term}});
   }
 
-  void LookAtNames() {
-    names_timer_.Set(kLookAtNames);
-    const std::uint64_t news = context_.reducer->counters().endpoint_list_updates;
-    if (std::exchange(seen_news_, news) == news)
-      return;
+  // Runs from the start on, every kWorkersCheckInterval.
+  void PostWorkersIfChanged() {
+    workers_timer_.Set(kWorkersCheckInterval);
+    const std::uint64_t updates = context_.reducer->counters().endpoint_list_updates;
+    if (std::exchange(posted_list_updates_, updates) != updates)
+      Post(ReadyWorkers());
+  }
+  cluster::Workers ReadyWorkers() const {
     cluster::Workers workers;
     for (const auto& [name, worker] : context_.reducer->endpoints()) {
       if (worker.source == WorkerEndpoint::Source::kDiscovery &&
           worker.state == WorkerEndpoint::State::kReady)
         workers.all.emplace_back(name, worker.address);
     }
-    Post(std::move(workers));
+    return workers;
   }
 
   const ComponentContext context_;
   MembershipSettings membership_;
   DutiesSettings duties_;
-  std::string address_;
-  std::vector<membership::Key> keys_;  // read for a configuration that is not yet taken over
-  std::unique_ptr<membership::Transport> transport_;
-  std::unique_ptr<cluster::Cluster> core_;
-  Timer timer_;
-  Timer names_timer_;
-  std::uint64_t seen_news_ = 0;
+  std::string advertised_address_;
+  std::vector<membership::Key> prepared_keys_;        // set between PrepareReload and ApplyReload
+  std::unique_ptr<membership::Transport> transport_;  // null where membership is off
+  std::unique_ptr<cluster::Cluster> core_;            // null where membership is off
+  Timer core_timer_;
+  Timer workers_timer_;
+  std::uint64_t posted_list_updates_ = 0;  // endpoint list updates that the workers last posted include
   std::deque<cluster::Event> events_;
   bool handling_ = false;
 };
--- a/src/daemon/component.h
+++ b/src/daemon/component.h
@@ -1,112 +1,57 @@
-// What a part of the daemon (frontends and links of one wire, an agent) offers to the wiring and is told by
-// it. Daemon holds a list of parts and knows none of them by name: a new part is a file of its own, made in
-// parts.cpp. All on the loop's thread.
+// A unit of the daemon: a protocol's frontend and worker connections, an agent, or a service for operators.
+// Daemon owns a list of components and knows none of them by type; components.cpp lists their factories.
 #ifndef ALDERSILL_SRC_DAEMON_COMPONENT_H_
 #define ALDERSILL_SRC_DAEMON_COMPONENT_H_
 
 #include <event2/event.h>
 
-#include <array>
 #include <functional>
-#include <map>
-#include <memory>
-#include <string>
-#include <vector>
 
 #include "config/config.h"
 #include "core/reducer.h"
 #include "core/types.h"
-#include "snmp/objects.h"
-#include "upgrade/process_group.h"
+#include "daemon/component_registry.h"
 
 namespace aldersill {
 
-class AttemptTransport {
- public:
-  virtual ~AttemptTransport() = default;
-  virtual void Start(const StartAttempt& start) = 0;
-  virtual void Send(const SendAttempt&) {}  // asked for only of who tells AttemptConnected
-  virtual void Stop(AttemptId attempt) = 0;
-};
-
-class ResponseSink {
- public:
-  virtual ~ResponseSink() = default;
-  virtual void Reply(std::uint64_t client, const FinalAnswer& answer) = 0;
-  // Whether it has gone, though nobody has been told yet.
-  virtual bool HasLeft(std::uint64_t) const { return false; }
-};
-
-// Where the core's effects go, and what else a part has for others. A place that nobody has taken is empty.
-struct ComponentRegistry {
-  std::array<AttemptTransport*, 2> attempt_transports{};  // by Instance::Source
-  std::array<ResponseSink*, 2> response_sinks{};          // by ClientRef::Front
-  std::function<void(const ProbeWorker&)> probe;
-  // The same for a part's own sake: what comes of it goes to the function alone, once.
-  std::function<void(const ProbeWorker&, std::function<void(ProbeCompleted)>)> probe_for;
-  std::function<void()> watch_endpoint_list;
-  // Why this process takes no clients, in one line; empty where it does.
-  std::function<std::string()> why_not_ready;
-  // The other processes of this dispatcher, as while one is upgraded to the next.
-  std::function<upgrade::OtherProcesses()> other_processes;
-  // Those of them to which clients come, and whether they come to this one.
-  std::function<upgrade::OtherProcesses()> processes_listening;
-  std::function<void(bool)> set_listening;
-  // How many processes hold the dispatcher's descriptors between them from now on, this one included.
-  std::function<void(int processes)> share_descriptors;
-  // Carries on with an attempt that another process handed over.
-  std::function<void(const ResumeAttempt&)> resume;
-  // Where jobs are handed to this process, and to the newest of the others that listens; empty where there is
-  // none.
-  std::function<std::string()> own_job_socket, other_job_socket;
-  // Tells the core of a ban, and keeps it for the other processes.
-  std::function<void(const std::string& worker, bool banned)> keep_ban;
-  // Called with each walk: what the part adds to the MIB.
-  std::vector<std::function<void(snmp::ObjectMap*)>> snmp_objects;
-  // What a running instance can be asked over its control socket, by the question's name: JSON, one line.
-  std::map<std::string, std::function<std::string()>> questions;
-};
-
+// What a component works with. All pointers stay valid for the component's life.
 struct ComponentContext {
   event_base* base = nullptr;
   EventSink* sink = nullptr;
-  const Reducer* reducer = nullptr;  // to read: its state changes through `sink` alone
+  const Reducer* reducer = nullptr;  // read-only: its state changes only by events posted to `sink`
   ComponentRegistry* registry = nullptr;
-  std::function<Micros()> now;  // the clock of the whole program
+  // The daemon's clock: Unix time in microseconds that never steps back.
+  std::function<Micros()> now;
 };
 
+// All functions are called on the event loop's thread.
 class Component {
  public:
   virtual ~Component() = default;
 
-  // Takes its places in the offers and begins. Throws std::runtime_error if it cannot, as where it cannot
-  // listen.
+  // Registers what the component provides and starts it. Throws std::runtime_error if it cannot start, as
+  // where an address is taken; the daemon then does not start.
   virtual void Start(const Config& config) = 0;
-  // After all parts have begun, and the name table remembered is known.
+  // Called once, after all components have started and the cached endpoint list has been posted.
   virtual void OnAllStarted() {}
 
-  // The configuration read anew, in two steps so that it is taken over completely or not at all:
-  // PrepareReload does all that can fail, throws what is wrong and changes nothing that shows; ApplyReload
-  // cannot fail. A PrepareReload without an ApplyReload is undone by CancelReload.
-  virtual void PrepareReload(const Config&) {}
-  virtual void ApplyReload(const Config&) {}
+  // A reload has two phases, so that it is applied completely or not at all.
+  //
+  // Phase 1: PrepareReload does everything that can fail, such as binding a new address, and keeps the result
+  // aside without any visible change. It throws to reject the configuration.
+  virtual void PrepareReload(const Config& /*next*/) {}
+  // Phase 2 after every PrepareReload succeeded: takes over what was prepared. Must not fail.
+  virtual void ApplyReload(const Config& /*config*/) {}
+  // Phase 2 after any PrepareReload threw: drops what was prepared. Also called for components whose
+  // PrepareReload was not reached.
   virtual void CancelReload() {}
-  // After the core has been told the new settings.
-  virtual void OnReloadApplied(const Config&) {}
+  // Called after ApplyReload of all components, once the core has the new settings.
+  virtual void OnReloadApplied(const Config& /*config*/) {}
 
+  // Begins the graceful shutdown: requests that were accepted are finished.
   virtual void BeginDrain() {}
-  virtual bool Quiet() const { return true; }  // nothing in hand that the program's end would lose
-};
-
-// All parts, in the order in which they start.
-std::vector<std::unique_ptr<Component>> MakeComponents(const ComponentContext& context);
-
-constexpr int kAdminConnections = 16;  // at the operators' address
-
-// How the descriptors are shared out among the parts that hold connections.
-struct DescriptorShares {
-  explicit DescriptorShares(const Config& config);
-  int sessions = 0, clients = 0, workers = 0;
+  // Whether the process may end without losing work of this component.
+  virtual bool IsIdle() const { return true; }
 };
 
 }  // namespace aldersill
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -1,25 +1,15 @@
 #include "daemon/components.h"
 
 namespace aldersill {
-namespace {
-
-// Descriptors for what is not a connection: standard streams, epoll, signals, listeners, discovery.
-constexpr int kReserved = 40 + kAdminConnections;
-
-}  // namespace
-
-DescriptorShares::DescriptorShares(const Config& config) {
-  const int all = config.sockets - kReserved;
-  sessions = config.own.faktory.enabled ? all / 4 : 0;
-  clients = workers = (all - sessions) / 2;
-}
 
 std::vector<std::unique_ptr<Component>> MakeComponents(const ComponentContext& context) {
   std::vector<std::unique_ptr<Component>> components;
+  // First: the platform component's start depends on whether another process of this dispatcher runs.
   components.push_back(MakeUpgradeComponent(context));
   components.push_back(MakePlatformComponent(context));
   components.push_back(MakeFaktoryComponent(context));
   components.push_back(MakeSnmpComponent(context));
+  // After the platform component, whose health checks it replaces where they are shared.
   components.push_back(MakeClusterComponent(context));
   components.push_back(MakeAdminComponent(context));
   components.push_back(MakeControlComponent(context));
--- a/src/daemon/control_component.cpp
+++ b/src/daemon/control_component.cpp
@@ -1,4 +1,9 @@
-// The control socket, on which the parts' questions are answered. Off without a path.
+// The control socket, which answers the queries that components register. Off without a path.
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+
 #include "control/control.h"
 #include "daemon/components.h"
 
@@ -9,40 +14,44 @@
  public:
   explicit ControlComponent(const ComponentContext& context) : context_(context) {}
 
-  void Start(const Config& c) override {
-    server_ = Make(c);
-    path_ = c.own.control.socket;
+  void Start(const Config& config) override {
+    path_ = config.own.control.socket;
+    server_ = MakeServer(path_);
   }
   void PrepareReload(const Config& next) override {
     if (next.own.control.socket != path_)
-      made_ = Make(next);
+      prepared_server_ = MakeServer(next.own.control.socket);
   }
-  void CancelReload() override { made_.reset(); }
-  void ApplyReload(const Config& c) override {
-    if (c.own.control.socket == path_)
+  void CancelReload() override { prepared_server_.reset(); }
+  void ApplyReload(const Config& config) override {
+    if (config.own.control.socket == path_)
       return;
-    path_ = c.own.control.socket;
-    server_ = std::move(made_);
+    path_ = config.own.control.socket;
+    server_ = std::move(prepared_server_);
   }
 
  private:
-  std::unique_ptr<control::Server> Make(const Config& c) const {
-    if (c.own.control.socket.empty())
+  // Null for an empty path.
+  std::unique_ptr<control::Server> MakeServer(const std::string& path) const {
+    if (path.empty())
       return nullptr;
-    return std::make_unique<control::Server>(
-        context_.base, c.own.control.socket,
-        [this](const std::string& question) -> std::optional<std::string> {
-          const auto found = context_.registry->questions.find(question);
-          if (found == context_.registry->questions.end())
-            return std::nullopt;
-          return found->second();
-        });
+    return std::make_unique<control::Server>(context_.base, path,
+                                             [this](const std::string& query) { return Answer(query); });
+  }
+
+  // Nothing for a query that no component has registered.
+  std::optional<std::string> Answer(const std::string& query) const {
+    const auto& queries = context_.registry->operators.control_queries;
+    const auto found = queries.find(query);
+    if (found == queries.end())
+      return std::nullopt;
+    return found->second();
   }
 
   const ComponentContext context_;
   std::string path_;
   std::unique_ptr<control::Server> server_;
-  std::unique_ptr<control::Server> made_;  // for a configuration that is not yet taken over
+  std::unique_ptr<control::Server> prepared_server_;  // set between PrepareReload and ApplyReload
 };
 
 }  // namespace
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,11 +1,12 @@
-// Wiring: hands the effects that the reducer asks for to the parts that offered to take them, and feeds it
-// what parts and timers tell.
+// The running dispatcher: owns the event loop, the core and the components, passes events to the core and has
+// its effects carried out.
 #ifndef ALDERSILL_SRC_DAEMON_DAEMON_H_
 #define ALDERSILL_SRC_DAEMON_DAEMON_H_
 
 #include <deque>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -16,31 +17,52 @@
 
 namespace aldersill {
 
+// Runs on one thread. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the configuration.
 class Daemon : public EventSink {
  public:
+  // Starts all components. Throws std::runtime_error if one of them cannot start.
   explicit Daemon(Config config);
   ~Daemon() override;
 
+  // Serves until a graceful shutdown is complete.
   void Run();
+
+  // Passes the event to the core and carries out its effects. An event posted by an effect is queued until
+  // the effects before it are all carried out.
   void Post(Event event) override;
 
  private:
-  void Do(const StartAttempt& e);
-  void Do(const ResumeAttempt& e);
-  void Do(const SendAttempt& e);
-  void Do(const StopAttempt& e);
-  void Do(const Answer& e);
-  void Do(const SetTimer& e);
-  void Do(const ClearTimer& e);
-  void Do(const ProbeWorker& e);
-  void Do(const WatchEndpointList& e);
-  void Do(const LogLine& e);
-
+  void StartComponents();
+  void WatchSignals();
   static void OnSignal(evutil_socket_t signal, short what, void* self);
-  void BeginDrain();
-  // Reads the configuration anew and takes all of it over, or none.
+
+  void Reduce(Event event);
+  void Perform(const StartAttempt& start);
+  void Perform(const ResumeAttempt& resume);
+  void Perform(const SendAttempt& send);
+  void Perform(const StopAttempt& stop);
+  void Perform(const Answer& answer);
+  void Perform(const SetTimer& timer);
+  void Perform(const ClearTimer& timer);
+  void Perform(const ProbeWorker& probe);
+  void Perform(const WatchEndpointList& watch);
+  void Perform(const LogLine& line);
+  bool ClientHasLeft(const ClientRef& client) const;
+
+  // Reads the configuration again and applies all of it or, if any part is rejected, none.
   void Reload();
-  void EndIfQuiet();
+  // Phase 1: reads and prepares. Nothing if the configuration was rejected; no component has changed then.
+  std::optional<Config> PrepareReload();
+  void RejectReload(const std::string& code, const std::string& field, const std::string& reason);
+  // Phase 2. Cannot fail.
+  void ApplyReload(Config next);
+
+  void BeginDrain();
+  // Ends Run once the drain is complete; otherwise checks again shortly.
+  void StopIfDrained();
+  bool IsIdle() const;
+
+  // Unix time in microseconds that never steps back.
   Micros Now() const;
 
   EventPtr<event_base> base_;
@@ -49,12 +71,12 @@
   std::deque<Event> events_;
   bool reducing_ = false;
   std::vector<Effect> effects_;
-  // The module may ask for one token twice, so a key may have several waits.
+  // A multimap, as the dispatch module may set several timers under one token.
   std::multimap<TimerKey, std::unique_ptr<Timer>> timers_;
   std::vector<EventPtr<event>> signals_;
-  std::unique_ptr<Timer> quiet_timer_;
-  Micros clock_offset_ = 0;
-  Micros drain_began_ = 0;
+  std::unique_ptr<Timer> drain_timer_;
+  Micros clock_offset_ = 0;    // from the steady clock to Unix time, fixed at the start
+  Micros drain_began_at_ = 0;  // 0 before the drain
 
   ComponentRegistry registry_;
   std::vector<std::unique_ptr<Component>> components_;
--- a/src/daemon/faktory_component.cpp
+++ b/src/daemon/faktory_component.cpp
@@ -1,95 +1,99 @@
-// The Faktory work protocol: producers and workers. Off unless the operator's file turns it on.
+// The Faktory protocol: producers' sessions as clients, workers' sessions as attempt transport. Off unless
+// the operator's file turns it on.
+#include <memory>
 #include <utility>
 
 #include "daemon/components.h"
+#include "daemon/descriptor_shares.h"
+#include "daemon/listener_log.h"
 #include "faktory/frontend.h"
-#include "log/log.h"
 
 namespace aldersill {
 namespace {
 
-faktory::FrontendSettings ForFaktory(const Config& c) {
-  faktory::FrontendSettings s;
-  s.listen = c.own.faktory.listen;
-  s.fetch_wait = c.own.faktory.fetch_wait;
-  s.silence = c.own.faktory.worker_silence;
-  s.return_within = c.own.faktory.worker_return;
-  s.most_connections = DescriptorShares(c).sessions;
-  for (const auto& job_class : c.module.classes)
-    s.classes.emplace(job_class.name, job_class.deadline);
-  return s;
+faktory::FrontendSettings FrontendSettingsFrom(const Config& config) {
+  faktory::FrontendSettings settings;
+  settings.listen = config.own.faktory.listen;
+  settings.fetch_wait = config.own.faktory.fetch_wait;
+  settings.silence = config.own.faktory.worker_silence;
+  settings.return_within = config.own.faktory.worker_return;
+  settings.most_connections = DivideDescriptors(config).faktory_sessions;
+  for (const auto& job_class : config.module.classes)
+    settings.classes.emplace(job_class.name, job_class.deadline);
+  return settings;
 }
 
 class FaktoryComponent : public Component, public AttemptTransport, public ResponseSink {
  public:
   explicit FaktoryComponent(const ComponentContext& context) : context_(context) {}
 
-  void Start(const Config& c) override {
-    held_ = c.own.faktory;
-    if (held_.enabled)
-      frontend_ = Make(c);
-    if (frontend_ != nullptr)
-      Offer();
+  void Start(const Config& config) override {
+    settings_ = config.own.faktory;
+    if (!settings_.enabled)
+      return;
+    frontend_ = MakeFrontend(config);
+    Register();
   }
   void OnAllStarted() override {
-    if (frontend_ == nullptr)
-      return;
-    Log(LogLevel::kInfo, "door",
-        {{"name", "faktory"}, {"address", held_.listen.host + ":" + std::to_string(frontend_->port())}});
+    if (frontend_ != nullptr)
+      LogListener("faktory", settings_.listen.host, frontend_->port());
   }
 
-  void Start(const StartAttempt& e) override { frontend_->Start(e); }
+  void Start(const StartAttempt& start) override { frontend_->Start(start); }
   void Stop(AttemptId attempt) override { frontend_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { frontend_->Reply(client, answer); }
 
   void PrepareReload(const Config& next) override {
-    const FaktorySettings& s = next.own.faktory;
-    if (!s.enabled)
+    const FaktorySettings& next_settings = next.own.faktory;
+    if (!next_settings.enabled)
       return;
-    if (frontend_ == nullptr) {
-      made_ = Make(next);
-    } else if (!held_.enabled || !(s.listen == held_.listen)) {
-      response_sink_ = frontend_->Open(s.listen);
-    }
+    if (frontend_ == nullptr)
+      prepared_frontend_ = MakeFrontend(next);
+    else if (!settings_.enabled || !(next_settings.listen == settings_.listen))
+      prepared_listener_ = frontend_->Open(next_settings.listen);
   }
   void CancelReload() override {
-    made_.reset();
-    response_sink_.reset();
+    prepared_frontend_.reset();
+    prepared_listener_.reset();
   }
-  void ApplyReload(const Config& c) override {
-    held_ = c.own.faktory;
-    if (made_ != nullptr) {
-      frontend_ = std::move(made_);
-      Offer();
+  void ApplyReload(const Config& config) override {
+    settings_ = config.own.faktory;
+    if (prepared_frontend_ != nullptr) {
+      frontend_ = std::move(prepared_frontend_);
+      Register();
     }
     if (frontend_ == nullptr)
       return;
-    if (held_.enabled)
-      return frontend_->ApplySettings(ForFaktory(c), std::move(response_sink_));
-    frontend_->Close();
+    if (settings_.enabled)
+      frontend_->ApplySettings(FrontendSettingsFrom(config), std::move(prepared_listener_));
+    else
+      frontend_->Close();
   }
 
   void BeginDrain() override {
     if (frontend_ != nullptr)
       frontend_->BeginDrain();
   }
-  bool Quiet() const override { return frontend_ == nullptr || frontend_->Quiet(); }
+  bool IsIdle() const override { return frontend_ == nullptr || frontend_->Quiet(); }
 
  private:
-  std::unique_ptr<faktory::Frontend> Make(const Config& c) const {
-    return std::make_unique<faktory::Frontend>(context_.base, ForFaktory(c), context_.sink);
+  std::unique_ptr<faktory::Frontend> MakeFrontend(const Config& config) const {
+    return std::make_unique<faktory::Frontend>(context_.base, FrontendSettingsFrom(config), context_.sink);
   }
-  void Offer() {
-    context_.registry->attempt_transports[static_cast<std::size_t>(WorkerEndpoint::Source::kSession)] = this;
-    context_.registry->response_sinks[static_cast<std::size_t>(ClientRef::Frontend::kFaktory)] = this;
+  void Register() {
+    EffectHandlers& effects = context_.registry->effects;
+    effects.SetTransport(WorkerEndpoint::Source::kSession, this);
+    effects.SetResponseSink(ClientRef::Frontend::kFaktory, this);
   }
 
   const ComponentContext context_;
-  FaktorySettings held_;
-  std::unique_ptr<faktory::Frontend> frontend_;  // none while it has never been on
-  // For a configuration that is not yet taken over.
-  std::unique_ptr<faktory::Frontend> made_;
-  EventPtr<evconnlistener> response_sink_;
+  FaktorySettings settings_;
+  // Null until Faktory is first turned on; kept when it is turned off, to end its sessions in order.
+  std::unique_ptr<faktory::Frontend> frontend_;
+  // At most one is set, between PrepareReload and ApplyReload: the first frontend, or a new listener for the
+  // one that runs.
+  std::unique_ptr<faktory::Frontend> prepared_frontend_;
+  EventPtr<evconnlistener> prepared_listener_;
 };
 
 }  // namespace
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -1,7 +1,5 @@
 #include "daemon/job_transfer.h"
 
-#include <unistd.h>
-
 #include <utility>
 
 #include "log/log.h"
@@ -9,92 +7,109 @@
 namespace aldersill {
 namespace {
 
-// What could not go at once, as a request that was not written whole yet.
-constexpr Micros kSendAgainEvery = 100 * kMillisecond;
+constexpr Micros kRetryInterval = 100 * kMillisecond;
+
+// How many descriptors come with the job: its client's connection, and its worker's if an attempt runs.
+std::size_t DescriptorCount(const upgrade::TransferredJob& job) { return job.running ? 2 : 1; }
 
 }  // namespace
 
-JobTransfer::JobTransfer(const ComponentContext& context, HttpFrontend* clients, WorkerClient* workers)
-    : context_(context), clients_(clients), workers_(workers), again_(context.base, [this] { SendAll(); }) {}
+JobTransfer::JobTransfer(const ComponentContext& context, HttpFrontend* frontend, WorkerClient* workers)
+    : context_(context),
+      frontend_(frontend),
+      workers_(workers),
+      retry_timer_(context.base, [this] { TransferAll(); }) {}
 
-void JobTransfer::ReceiveAt(const std::string& path) {
+void JobTransfer::Listen(const std::string& path) {
   receiver_ = std::make_unique<upgrade::DescriptorReceiver>(
-      context_.base, path, [this](std::string_view message, std::vector<int> descriptors) {
+      context_.base, path, [this](std::string_view message, std::vector<UniqueDescriptor> descriptors) {
         Receive(message, std::move(descriptors));
       });
 }
 
-void JobTransfer::SendTo(const std::string& path) {
+void JobTransfer::TransferTo(const std::string& path) {
   sender_ = std::make_unique<upgrade::DescriptorSender>(path);
   if (!sender_->connected())
     return Log(LogLevel::kWarning, "jobs_not_handed_over", {{"to", path}});
-  SendAll();
+  TransferAll();
 }
 
-void JobTransfer::SendAll() {
-  std::int64_t sent = 0;
+void JobTransfer::TransferAll() {
+  std::int64_t transferred = 0;
   for (const InFlightJob& in_flight : context_.reducer->InFlightJobs())
-    sent += SendOne(in_flight);
-  if (sent > 0)
-    Log(LogLevel::kInfo, "jobs_handed_over", {{"count", sent}});
-  again_.Set(kSendAgainEvery);
+    transferred += Transfer(in_flight) ? 1 : 0;
+  if (transferred > 0)
+    Log(LogLevel::kInfo, "jobs_handed_over", {{"count", transferred}});
+  retry_timer_.Set(kRetryInterval);
 }
 
-bool JobTransfer::SendOne(const InFlightJob& in_flight) {
-  const auto client = clients_->PrepareTransfer(in_flight.client.number);
+bool JobTransfer::Transfer(const InFlightJob& in_flight) {
+  const auto client = frontend_->PrepareTransfer(in_flight.client.number);
   if (!client)
     return false;
   std::vector<int> descriptors{client->fd};
-  upgrade::TransferredJob transferred{
-      *in_flight.job, in_flight.may_have_run, client->keep_alive, client->head_only, {}};
+  upgrade::TransferredJob transferred{.job = *in_flight.job,
+                                      .may_have_run = in_flight.may_have_run,
+                                      .keep_alive = client->keep_alive,
+                                      .head_only = client->head_only,
+                                      .running = {}};
   transferred.job.time_left = in_flight.time_left;
   if (in_flight.running) {
     auto worker = workers_->PrepareTransfer(*in_flight.running);
     if (!worker)
       return false;
     descriptors.push_back(worker->fd);
-    transferred.running = {in_flight.worker, std::move(worker->address), std::move(worker->received)};
+    transferred.running = {.worker = in_flight.worker,
+                           .address = std::move(worker->address),
+                           .received = std::move(worker->received)};
   }
   if (!sender_->Send(upgrade::EncodeJob(transferred), descriptors))
     return false;
-  clients_->CompleteTransfer(in_flight.client.number);
+  frontend_->CompleteTransfer(in_flight.client.number);
   if (in_flight.running)
     workers_->CompleteTransfer(*in_flight.running);
   context_.sink->Post(JobTransferred{in_flight.client});
   return true;
 }
 
-void JobTransfer::Receive(std::string_view message, std::vector<int> descriptors) {
+void JobTransfer::Receive(std::string_view message, std::vector<UniqueDescriptor> descriptors) {
   auto transferred = upgrade::DecodeJob(message);
-  const std::size_t wanted = transferred && transferred->running ? 2 : 1;
-  if (!transferred || descriptors.size() != wanted) {
-    Log(LogLevel::kError, "job_handed_over_unreadable", {{"bytes", message.size()}});
-    for (const int fd : descriptors)
-      close(fd);
-    return;
-  }
-  const std::uint64_t number =
-      clients_->ReceiveTransfer({descriptors[0], transferred->keep_alive, transferred->head_only});
+  if (!transferred || descriptors.size() != DescriptorCount(*transferred))
+    return Log(LogLevel::kError, "job_handed_over_unreadable", {{"bytes", message.size()}});
+  const std::uint64_t number = frontend_->ReceiveTransfer({.fd = descriptors[0].Release(),
+                                                           .keep_alive = transferred->keep_alive,
+                                                           .head_only = transferred->head_only});
   const ClientRef client{ClientRef::Frontend::kHttp, number};
-  if (!transferred->running)
-    return context_.sink->Post(RequestTaken{client, std::move(transferred->job)});
-  const std::uint64_t resume = next_++;
-  JobReceived adopted{client, std::move(transferred->job), transferred->running->worker,
-                      transferred->may_have_run, resume};
-  arrived_.emplace(resume, Arrived{descriptors[1], std::move(*transferred->running)});
-  context_.sink->Post(std::move(adopted));
-  // One that the core did not take up, as of a class that is not known here, is given up.
-  if (const auto left = arrived_.extract(resume); !left.empty())
-    close(left.mapped().worker_fd);
+  if (transferred->running)
+    ReceiveRunning(client, std::move(*transferred), std::move(descriptors[1]));
+  else
+    context_.sink->Post(RequestTaken{client, std::move(transferred->job)});
+}
+
+void JobTransfer::ReceiveRunning(const ClientRef& client, upgrade::TransferredJob transferred,
+                                 UniqueDescriptor worker_connection) {
+  const std::uint64_t number = next_resume_number_++;
+  JobReceived received{.client = client,
+                       .job = std::move(transferred.job),
+                       .worker = transferred.running->worker,
+                       .may_have_run = transferred.may_have_run,
+                       .resume = number};
+  received_attempts_.emplace(number, ReceivedAttempt{.connection = std::move(worker_connection),
+                                                     .attempt = std::move(*transferred.running)});
+  context_.sink->Post(std::move(received));
+  // Resume has taken the attempt by now, unless the core dropped the job, as with a class unknown here.
+  received_attempts_.erase(number);
 }
 
 void JobTransfer::Resume(const ResumeAttempt& resume) {
-  auto arrived = arrived_.extract(resume.resume);
-  if (arrived.empty())
+  auto found = received_attempts_.extract(resume.resume);
+  if (found.empty())
     return;
-  Arrived& a = arrived.mapped();
+  ReceivedAttempt& received = found.mapped();
   workers_->ReceiveTransfer(resume.attempt, resume.job,
-                            {a.worker_fd, std::move(a.running.address), std::move(a.running.received)});
+                            {.fd = received.connection.Release(),
+                             .address = std::move(received.attempt.address),
+                             .received = std::move(received.attempt.received)});
 }
 
 }  // namespace aldersill
--- /dev/null
+++ b/src/daemon/listener_log.h
@@ -0,0 +1,24 @@
+// The log line by which each listener announces its address, so that callers can find ports that the kernel
+// chose.
+#ifndef ALDERSILL_SRC_DAEMON_LISTENER_LOG_H_
+#define ALDERSILL_SRC_DAEMON_LISTENER_LOG_H_
+
+#include <string>
+#include <string_view>
+
+#include "log/log.h"
+
+namespace aldersill {
+
+// The event's published name.
+inline constexpr std::string_view kListenerLogEvent = "door";
+
+// `name`: the listener's published name, such as http or mgmt. `port`: the one it is bound to.
+inline void LogListener(std::string_view name, const std::string& host, int port) {
+  Log(LogLevel::kInfo, kListenerLogEvent,
+      {{"name", std::string(name)}, {"address", host + ":" + std::to_string(port)}});
+}
+
+}  // namespace aldersill
+
+#endif  // ALDERSILL_SRC_DAEMON_LISTENER_LOG_H_
--- a/src/daemon/snmp_component.cpp
+++ b/src/daemon/snmp_component.cpp
@@ -1,6 +1,9 @@
-// The SNMP agent: the core's counters, and what other parts add to the MIB.
+// The SNMP agent: serves the core's counters and the objects that components register. Off unless the
+// operator's file turns it on.
+#include <memory>
+
 #include "daemon/components.h"
-#include "log/log.h"
+#include "daemon/listener_log.h"
 #include "snmp/agent.h"
 
 namespace aldersill {
@@ -10,33 +13,32 @@
  public:
   explicit SnmpComponent(const ComponentContext& context) : context_(context) {}
 
-  void Start(const Config& c) override {
-    held_ = c.own.snmp;
-    if (!held_.enabled)
-      return;
-    agent_ = std::make_unique<snmp::Agent>(context_.base, held_.listen, [this] {
-      snmp::ObjectMap objects = snmp::Objects(context_.reducer->counters());
-      for (const auto& add : context_.registry->snmp_objects)
-        add(&objects);
-      return objects;
-    });
+  void Start(const Config& config) override {
+    settings_ = config.own.snmp;
+    if (settings_.enabled)
+      agent_ = std::make_unique<snmp::Agent>(context_.base, settings_.listen, [this] { return Objects(); });
   }
   void OnAllStarted() override {
-    if (agent_ == nullptr)
-      return;
-    Log(LogLevel::kInfo, "door",
-        {{"name", "snmp"}, {"address", held_.listen.host + ":" + std::to_string(agent_->port())}});
+    if (agent_ != nullptr)
+      LogListener("snmp", settings_.listen.host, agent_->port());
   }
-  // The library keeps global state, and cannot begin again.
+  // The SNMP library has global state and cannot be started a second time.
   void PrepareReload(const Config& next) override {
-    if (!(next.own.snmp == held_))
+    if (!(next.own.snmp == settings_))
       throw ConfigError("snmp cannot change while the program runs");
   }
 
  private:
+  snmp::ObjectMap Objects() const {
+    snmp::ObjectMap objects = snmp::Objects(context_.reducer->counters());
+    for (const auto& add_objects : context_.registry->operators.snmp_object_providers)
+      add_objects(&objects);
+    return objects;
+  }
+
   const ComponentContext context_;
-  SnmpSettings held_;
-  std::unique_ptr<snmp::Agent> agent_;
+  SnmpSettings settings_;
+  std::unique_ptr<snmp::Agent> agent_;  // null where the agent is off
 };
 
 }  // namespace
--- a/src/daemon/upgrade_component.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -1,8 +1,9 @@
-// What this process shares with another of the same dispatcher, started for an upgrade: bans, and that it is
-// there. Off where operators cannot call, or clients come to a port of the kernel's choice.
-#include <algorithm>
+// The other processes of this dispatcher that run during an upgrade: counts them, shares the connection
+// limits with them, and keeps one list of bans for all. Off where operators cannot call (no `mgmt`), where
+// the kernel chooses the clients' port, or without TMPDIR: this process then acts as the only one.
+#include <cstdint>
 #include <cstdlib>
-#include <iterator>
+#include <optional>
 #include <string>
 #include <utility>
 
@@ -14,62 +15,82 @@
 namespace aldersill {
 namespace {
 
-// A ban that the other process was told binds this one as well, from the answer on.
-constexpr Micros kLookEvery = 100 * kMillisecond;
+// How soon a ban set through another process holds here.
+constexpr Micros kCheckInterval = 100 * kMillisecond;
+constexpr std::uint64_t kNanosecondsPerMicrosecond = 1'000;
+
+// The directory that the processes of one dispatcher share; nothing where they share none.
+std::optional<std::string> SharedDirectory(const Config& config) {
+  const char* root = std::getenv("TMPDIR");
+  if (!config.mgmt || config.listen.port == 0 || root == nullptr || *root == '\0')
+    return std::nullopt;
+  return std::string(root) + "/aldersill-" + ToText(config.listen);
+}
 
 class UpgradeComponent : public Component {
  public:
   explicit UpgradeComponent(const ComponentContext& context)
-      : context_(context), look_(context.base, [this] { Look(); }) {}
+      : context_(context), check_timer_(context.base, [this] { CheckGroup(); }) {}
 
-  void Start(const Config& c) override {
-    ComponentRegistry& registry = *context_.registry;
-    registry.other_processes = [this] { return folder_ ? folder_->Others() : upgrade::OtherProcesses{}; };
-    registry.processes_listening = [this] {
-      return folder_ ? folder_->OthersListening() : upgrade::OtherProcesses{};
-    };
-    registry.set_listening = [this](bool listens) {
-      if (folder_)
-        folder_->SetListening(listens);
-    };
-    registry.own_job_socket = [this] { return folder_ ? folder_->OwnSocket() : std::string(); };
-    registry.other_job_socket = [this] { return folder_ ? folder_->NewestListeningSocket() : std::string(); };
-    registry.keep_ban = [this](const std::string& worker, bool banned) { Keep(worker, banned); };
-    const char* root = std::getenv("TMPDIR");
-    if (!c.mgmt || c.listen.port == 0 || root == nullptr || *root == '\0')
+  void Start(const Config& config) override {
+    Register();
+    const std::optional<std::string> directory = SharedDirectory(config);
+    if (!directory)
       return;
     try {
-      folder_.emplace(std::string(root) + "/aldersill-" + ToText(c.listen),
-                      static_cast<std::uint64_t>(context_.now()) * 1'000);
-    } catch (const std::runtime_error& e) {
-      return Log(LogLevel::kWarning, "upgrade_unshared", {{"why", e.what()}});
+      group_.emplace(*directory, static_cast<std::uint64_t>(context_.now()) * kNanosecondsPerMicrosecond);
+    } catch (const std::runtime_error& error) {
+      return Log(LogLevel::kWarning, "upgrade_unshared", {{"why", error.what()}});
     }
-    TakeOver();
-    look_.Set(kLookEvery);
+    AdoptSharedBans();
+    check_timer_.Set(kCheckInterval);
   }
 
  private:
-  void Look() {
-    look_.Set(kLookEvery);
-    // One that was killed changes nothing in the folder: those that are there are counted until they are
-    // gone.
-    if (!folder_->Changed() && others_ == 0)
+  void Register() {
+    ProcessGroupServices& services = context_.registry->process_group;
+    services.others = [this] { return group_ ? group_->Others() : upgrade::OtherProcesses{}; };
+    services.others_listening = [this] {
+      return group_ ? group_->OthersListening() : upgrade::OtherProcesses{};
+    };
+    services.set_listening = [this](bool listening) {
+      if (group_)
+        group_->SetListening(listening);
+    };
+    services.own_transfer_socket = [this] { return group_ ? group_->OwnSocket() : std::string(); };
+    services.peer_transfer_socket = [this] {
+      return group_ ? group_->NewestListeningSocket() : std::string();
+    };
+    services.set_ban = [this](const std::string& worker, bool banned) { SetBan(worker, banned); };
+  }
+
+  void CheckGroup() {
+    check_timer_.Set(kCheckInterval);
+    // The end of a killed process does not change the directory, so as long as there are other processes they
+    // are counted every time.
+    if (!group_->Changed() && other_processes_ == 0)
       return;
-    if (folder_->BansChanged())
-      TakeOver();
-    const int others = folder_->Others().count();
-    if (std::exchange(others_, others) != others && context_.registry->share_descriptors)
-      context_.registry->share_descriptors(1 + others);
+    if (group_->BansChanged())
+      AdoptSharedBans();
+    UpdateProcessCount();
+  }
+
+  void UpdateProcessCount() {
+    const int others = group_->Others().count();
+    const bool changed = std::exchange(other_processes_, others) != others;
+    if (changed && context_.registry->set_process_count)
+      context_.registry->set_process_count(1 + others);
   }
 
-  void TakeOver() {
-    const std::optional<upgrade::BanList> bans = folder_->ReadBans();
+  void AdoptSharedBans() {
+    const std::optional<upgrade::BanList> bans = group_->ReadBans();
     if (!bans)
       return Log(LogLevel::kWarning, "bans_unreadable", {{"effect", "those in force stay"}});
-    Apply(*bans);
+    PostChangesTo(*bans);
   }
 
-  void Apply(const upgrade::BanList& bans) {
+  // Posts what differs between the bans in force and `bans`.
+  void PostChangesTo(const upgrade::BanList& bans) {
     const upgrade::BanList before = context_.reducer->banned();
     for (const std::string& worker : bans) {
       if (!before.contains(worker))
@@ -81,26 +102,27 @@
     }
   }
 
-  void Keep(const std::string& worker, bool banned) {
-    if (!folder_)
+  // A ban that cannot be shared still holds in this process.
+  void SetBan(const std::string& worker, bool banned) {
+    if (!group_)
       return context_.sink->Post(WorkerBanned{worker, banned});
     try {
-      Apply(folder_->ChangeBans([&](upgrade::BanList* bans) {
+      PostChangesTo(group_->ChangeBans([&](upgrade::BanList* bans) {
         if (banned)
           bans->insert(worker);
         else
           bans->erase(worker);
       }));
-    } catch (const std::runtime_error& e) {
-      Log(LogLevel::kWarning, "ban_unshared", {{"worker", worker}, {"why", e.what()}});
+    } catch (const std::runtime_error& error) {
+      Log(LogLevel::kWarning, "ban_unshared", {{"worker", worker}, {"why", error.what()}});
       context_.sink->Post(WorkerBanned{worker, banned});
     }
   }
 
   const ComponentContext context_;
-  std::optional<upgrade::ProcessGroup> folder_;
-  Timer look_;
-  int others_ = 0;
+  std::optional<upgrade::ProcessGroup> group_;  // nothing where this process acts as the only one
+  Timer check_timer_;
+  int other_processes_ = 0;  // at the last check
 };
 
 }  // namespace
--- a/src/upgrade/descriptor_channel.cpp
+++ b/src/upgrade/descriptor_channel.cpp
@@ -1,41 +1,40 @@
 #include "upgrade/descriptor_channel.h"
 
 #include <sys/socket.h>
-#include <sys/un.h>
 #include <unistd.h>
 
 #include <array>
 #include <cerrno>
 #include <cstring>
-#include <optional>
 #include <stdexcept>
 #include <utility>
 
+#include "net/unix_address.h"
+
 namespace aldersill::upgrade {
 namespace {
 
-constexpr std::size_t kMostDescriptors = 2;
-constexpr std::size_t kMostMessage = 256 * 1024;  // a body of 64 KiB, a head, and an answer's beginning
-constexpr int kKinds = SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC;
-
-using ControlBuffer = std::array<char, CMSG_SPACE(kMostDescriptors * sizeof(int))>;
+constexpr std::size_t kMaxDescriptors = 2;
+constexpr std::size_t kMaxMessageBytes = 256 * 1024;  // a body of 64 KiB, a head, and a response's beginning
+constexpr int kSocketType = SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC;
+constexpr int kBacklog = 8;
 
-std::optional<sockaddr_un> AddressOf(const std::string& path) {
-  sockaddr_un address{};
-  address.sun_family = AF_UNIX;
-  if (path.size() >= sizeof(address.sun_path))
-    return std::nullopt;
-  std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
-  return address;
-}
+// Room for the control message that carries the descriptors.
+struct alignas(cmsghdr) ControlBuffer {
+  std::array<char, CMSG_SPACE(kMaxDescriptors * sizeof(int))> bytes{};
+};
 
-std::vector<int> DescriptorsOf(msghdr* header) {
-  std::vector<int> descriptors;
-  for (cmsghdr* c = CMSG_FIRSTHDR(header); c != nullptr; c = CMSG_NXTHDR(header, c)) {
-    if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS)
+std::vector<UniqueDescriptor> TakeDescriptors(msghdr* header) {
+  std::vector<UniqueDescriptor> descriptors;
+  for (cmsghdr* control = CMSG_FIRSTHDR(header); control != nullptr; control = CMSG_NXTHDR(header, control)) {
+    if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS)
       continue;
-    descriptors.resize((c->cmsg_len - CMSG_LEN(0)) / sizeof(int));
-    std::memcpy(descriptors.data(), CMSG_DATA(c), descriptors.size() * sizeof(int));
+    const std::size_t count = (control->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+    for (std::size_t i = 0; i < count; ++i) {
+      int fd = -1;
+      std::memcpy(&fd, CMSG_DATA(control) + i * sizeof(int), sizeof(int));
+      descriptors.emplace_back(fd);
+    }
   }
   return descriptors;
 }
@@ -43,61 +42,54 @@
 }  // namespace
 
 DescriptorSender::DescriptorSender(const std::string& path) {
-  const auto address = AddressOf(path);
+  const auto address = MakeUnixAddress(path);
   if (!address)
     return;
-  fd_ = socket(AF_UNIX, kKinds, 0);
-  const int size = static_cast<int>(2 * kMostMessage);
-  setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
-  if (connect(fd_, reinterpret_cast<const sockaddr*>(&*address), sizeof(*address)) != 0)
-    close(std::exchange(fd_, -1));
-}
-
-DescriptorSender::~DescriptorSender() {
-  if (fd_ >= 0)
-    close(fd_);
+  socket_ = UniqueDescriptor(socket(AF_UNIX, kSocketType, 0));
+  const int buffer_bytes = static_cast<int>(2 * kMaxMessageBytes);
+  setsockopt(socket_.get(), SOL_SOCKET, SO_SNDBUF, &buffer_bytes, sizeof(buffer_bytes));
+  if (connect(socket_.get(), ToGenericAddress(*address), sizeof(*address)) != 0)
+    socket_.Reset();
 }
 
 bool DescriptorSender::Send(std::string_view message, const std::vector<int>& descriptors) {
-  if (fd_ < 0 || descriptors.empty() || descriptors.size() > kMostDescriptors ||
-      message.size() > kMostMessage)
+  if (!connected() || descriptors.empty() || descriptors.size() > kMaxDescriptors ||
+      message.size() > kMaxMessageBytes)
     return false;
-  alignas(cmsghdr) ControlBuffer control{};
+  const std::size_t descriptor_bytes = descriptors.size() * sizeof(int);
+  ControlBuffer control;
   iovec text{const_cast<char*>(message.data()), message.size()};
   msghdr header{};
   header.msg_iov = &text;
   header.msg_iovlen = 1;
-  header.msg_control = control.data();
-  header.msg_controllen = CMSG_SPACE(descriptors.size() * sizeof(int));
+  header.msg_control = control.bytes.data();
+  header.msg_controllen = CMSG_SPACE(descriptor_bytes);
   cmsghdr* rights = CMSG_FIRSTHDR(&header);
   rights->cmsg_level = SOL_SOCKET;
   rights->cmsg_type = SCM_RIGHTS;
-  rights->cmsg_len = CMSG_LEN(descriptors.size() * sizeof(int));
-  std::memcpy(CMSG_DATA(rights), descriptors.data(), descriptors.size() * sizeof(int));
-  return sendmsg(fd_, &header, MSG_NOSIGNAL) == static_cast<ssize_t>(message.size());
+  rights->cmsg_len = CMSG_LEN(descriptor_bytes);
+  std::memcpy(CMSG_DATA(rights), descriptors.data(), descriptor_bytes);
+  return sendmsg(socket_.get(), &header, MSG_NOSIGNAL) == static_cast<ssize_t>(message.size());
 }
 
-DescriptorReceiver::DescriptorReceiver(event_base* base, const std::string& path, Received received)
-    : base_(base), path_(path), received_(std::move(received)) {
-  const auto address = AddressOf(path);
+DescriptorReceiver::DescriptorReceiver(event_base* base, std::string path, Received received)
+    : base_(base), path_(std::move(path)), received_(std::move(received)) {
+  const auto address = MakeUnixAddress(path_);
   if (!address)
-    throw std::runtime_error(path + " is longer than a socket's path can be");
-  const int fd = socket(AF_UNIX, kKinds, 0);
-  if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof(*address)) != 0) {
-    const std::string why = std::strerror(errno);
-    if (fd >= 0)
-      close(fd);
-    throw std::runtime_error("cannot listen on " + path + ": " + why);
-  }
-  listener_.reset(
-      evconnlistener_new(base, &DescriptorReceiver::OnAccept, this, LEV_OPT_CLOSE_ON_FREE, 8, fd));
+    throw std::runtime_error(path_ + " is longer than a socket's path can be");
+  UniqueDescriptor listening(socket(AF_UNIX, kSocketType, 0));
+  if (!listening.valid() || bind(listening.get(), ToGenericAddress(*address), sizeof(*address)) != 0)
+    throw std::runtime_error("cannot listen on " + path_ + ": " + std::strerror(errno));
+  listener_.reset(evconnlistener_new(base, &DescriptorReceiver::OnAccept, this, LEV_OPT_CLOSE_ON_FREE,
+                                     kBacklog, listening.get()));
   if (listener_ == nullptr)
-    throw std::runtime_error("cannot listen on " + path);
+    throw std::runtime_error("cannot listen on " + path_);
+  listening.Release();  // the listener owns it
 }
 
 DescriptorReceiver::~DescriptorReceiver() {
-  for (auto& [fd, reads] : senders_) {
-    reads.reset();
+  for (auto& [fd, read_event] : senders_) {
+    read_event.reset();
     close(fd);
   }
   unlink(path_.c_str());
@@ -105,35 +97,35 @@
 
 void DescriptorReceiver::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
   auto* receiver = static_cast<DescriptorReceiver*>(self);
-  EventPtr<event> reads(
+  EventPtr<event> read_event(
       event_new(receiver->base_, fd, EV_READ | EV_PERSIST, &DescriptorReceiver::OnReadable, receiver));
-  event_add(reads.get(), nullptr);
-  receiver->senders_.emplace(fd, std::move(reads));
+  event_add(read_event.get(), nullptr);
+  receiver->senders_.emplace(fd, std::move(read_event));
 }
 
 void DescriptorReceiver::OnReadable(evutil_socket_t fd, short, void* self) {
   auto* receiver = static_cast<DescriptorReceiver*>(self);
-  if (receiver->ReceiveOne(fd))
+  if (receiver->ReceiveMessage(fd))
     return;
   receiver->senders_.erase(fd);
   close(fd);
 }
 
-bool DescriptorReceiver::ReceiveOne(evutil_socket_t fd) {
-  alignas(cmsghdr) ControlBuffer control{};
-  std::string message(kMostMessage, '\0');
+bool DescriptorReceiver::ReceiveMessage(evutil_socket_t fd) {
+  ControlBuffer control;
+  std::string message(kMaxMessageBytes, '\0');
   iovec text{message.data(), message.size()};
   msghdr header{};
   header.msg_iov = &text;
   header.msg_iovlen = 1;
-  header.msg_control = control.data();
-  header.msg_controllen = control.size();
+  header.msg_control = control.bytes.data();
+  header.msg_controllen = control.bytes.size();
   const ssize_t size = recvmsg(fd, &header, MSG_CMSG_CLOEXEC);
   if (size < 0)
     return errno == EAGAIN || errno == EINTR;
   if (size == 0)
     return false;
-  received_(std::string_view(message).substr(0, static_cast<std::size_t>(size)), DescriptorsOf(&header));
+  received_(std::string_view(message).substr(0, static_cast<std::size_t>(size)), TakeDescriptors(&header));
   return true;
 }
 
--- a/src/upgrade/descriptor_channel.h
+++ b/src/upgrade/descriptor_channel.h
@@ -1,4 +1,6 @@
-// Messages with descriptors from one process to another on the same machine, over a Unix socket.
+// Passes messages with file descriptors between two processes on one machine. Each message travels over a
+// Unix socket of type SOCK_SEQPACKET with its descriptors as SCM_RIGHTS, so it arrives complete or not at
+// all.
 #ifndef ALDERSILL_SRC_UPGRADE_DESCRIPTOR_CHANNEL_H_
 #define ALDERSILL_SRC_UPGRADE_DESCRIPTOR_CHANNEL_H_
 
@@ -10,31 +12,33 @@
 #include <vector>
 
 #include "net/event_loop.h"
+#include "net/unique_descriptor.h"
 
 namespace aldersill::upgrade {
 
 class DescriptorSender {
  public:
+  // Connects to the receiver that listens at `path`. Reports failure by connected().
   explicit DescriptorSender(const std::string& path);
-  ~DescriptorSender();
-  DescriptorSender(const DescriptorSender&) = delete;
-  DescriptorSender& operator=(const DescriptorSender&) = delete;
 
-  bool connected() const { return fd_ >= 0; }
-  // False where nothing was sent. The descriptors stay open here; the other process gets its own.
+  bool connected() const { return socket_.valid(); }
+  // Sends a message with one or two descriptors, without blocking. False if nothing was sent. The caller
+  // keeps its descriptors; the receiver gets duplicates, which the kernel holds until the message is read and
+  // closes if the receiver ends before.
   bool Send(std::string_view message, const std::vector<int>& descriptors);
 
  private:
-  int fd_ = -1;
+  UniqueDescriptor socket_;
 };
 
 class DescriptorReceiver {
  public:
-  // Owns the descriptors from there on.
-  using Received = std::function<void(std::string_view message, std::vector<int> descriptors)>;
+  // Called for each message.
+  using Received = std::function<void(std::string_view message, std::vector<UniqueDescriptor> descriptors)>;
 
-  // Throws std::runtime_error if it cannot listen at `path`.
-  DescriptorReceiver(event_base* base, const std::string& path, Received received);
+  // Listens at `path`, for any number of senders. Throws std::runtime_error if it cannot.
+  DescriptorReceiver(event_base* base, std::string path, Received received);
+  // Removes the socket's file.
   ~DescriptorReceiver();
   DescriptorReceiver(const DescriptorReceiver&) = delete;
   DescriptorReceiver& operator=(const DescriptorReceiver&) = delete;
@@ -42,14 +46,14 @@
  private:
   static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
   static void OnReadable(evutil_socket_t fd, short what, void* self);
-  // False at the sender's end.
-  bool ReceiveOne(evutil_socket_t fd);
+  // False once the sender has closed its end, or after an error.
+  bool ReceiveMessage(evutil_socket_t fd);
 
   event_base* base_;
   const std::string path_;
   const Received received_;
   EventPtr<evconnlistener> listener_;
-  std::unordered_map<evutil_socket_t, EventPtr<event>> senders_;
+  std::unordered_map<evutil_socket_t, EventPtr<event>> senders_;  // the read event of each connection
 };
 
 }  // namespace aldersill::upgrade
--- a/src/upgrade/process_group.cpp
+++ b/src/upgrade/process_group.cpp
@@ -5,12 +5,14 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
+#include <string_view>
 #include <utility>
 
 namespace aldersill::upgrade {
@@ -18,90 +20,85 @@
 
 namespace fs = std::filesystem;
 
-constexpr const char* kProcess = "process-";
-constexpr const char* kBans = "bans.json";
-constexpr const char* kBansLock = "bans.lock";
+constexpr std::string_view kMemberPrefix = "process-";
+constexpr std::string_view kSocketPrefix = "jobs-";
+constexpr const char* kBansFile = "bans.json";
+constexpr const char* kBansLockFile = "bans.lock";
+constexpr const char* kNextBansSuffix = ".bans";
 
-[[noreturn]] void Throw(const std::string& what, const fs::path& path) {
+[[noreturn]] void ThrowSystemError(const std::string& what, const fs::path& path) {
   throw std::runtime_error(what + " " + path.string() + ": " + std::strerror(errno));
 }
 
-// An open file that may be locked; closes itself.
-class OpenFile {
- public:
-  OpenFile(const fs::path& path, int flags) : fd_(open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
-  ~OpenFile() {
-    if (fd_ >= 0)
-      close(fd_);
-  }
-  OpenFile(const OpenFile&) = delete;
-  OpenFile& operator=(const OpenFile&) = delete;
-  bool opened() const { return fd_ >= 0; }
-  bool Lock(int how) const { return flock(fd_, how) == 0; }
-  int Release() { return std::exchange(fd_, -1); }
+UniqueDescriptor OpenFile(const fs::path& path, int flags) {
+  constexpr mode_t kOwnerOnly = 0600;
+  return UniqueDescriptor(open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly));
+}
 
- private:
-  int fd_;
-};
+bool Lock(const UniqueDescriptor& file, int operation) { return flock(file.get(), operation) == 0; }
 
-// Names of one length, so that they sort as the times do.
-std::string ProcessName(std::uint64_t now) {
-  char name[48];
-  std::snprintf(name, sizeof(name), "%s%016llx", kProcess, static_cast<unsigned long long>(now));
-  return name;
+// All names have one length, so that they sort by time.
+std::string MemberName(std::uint64_t start_time) {
+  std::array<char, 17> digits{};
+  std::snprintf(digits.data(), digits.size(), "%016llx", static_cast<unsigned long long>(start_time));
+  return std::string(kMemberPrefix) + digits.data();
 }
 
-bool IsHeld(const fs::path& file) {
-  const OpenFile opened(file, O_RDONLY);
-  return opened.opened() && !opened.Lock(LOCK_SH | LOCK_NB) && errno == EWOULDBLOCK;
+// Whether a process holds the lock on the member's file.
+bool IsRunning(const fs::path& member_file) {
+  const UniqueDescriptor file = OpenFile(member_file, O_RDONLY);
+  return file.valid() && !Lock(file, LOCK_SH | LOCK_NB) && errno == EWOULDBLOCK;
 }
 
 }  // namespace
 
-ProcessGroup::ProcessGroup(fs::path folder, std::uint64_t now)
-    : folder_(std::move(folder)), own_(ProcessName(now)) {
-  std::error_code error;
-  fs::create_directories(folder_, error);
-  OpenFile file(folder_ / own_, O_RDWR | O_CREAT | O_EXCL);
-  if (!file.opened() || !file.Lock(LOCK_EX | LOCK_NB))
-    Throw("cannot keep", folder_ / own_);
-  own_fd_ = file.Release();
+ProcessGroup::ProcessGroup(fs::path directory, std::uint64_t start_time)
+    : directory_(std::move(directory)), own_name_(MemberName(start_time)) {
+  std::error_code ignored;  // if it is missing, opening the file fails
+  fs::create_directories(directory_, ignored);
+  own_file_ = OpenFile(directory_ / own_name_, O_RDWR | O_CREAT | O_EXCL);
+  if (!own_file_.valid() || !Lock(own_file_, LOCK_EX | LOCK_NB))
+    ThrowSystemError("cannot keep", directory_ / own_name_);
 }
 
 ProcessGroup::~ProcessGroup() {
+  // The file goes before its lock, so that no other process takes this one for killed.
   std::error_code ignored;
-  fs::remove(folder_ / own_, ignored);
-  close(own_fd_);
+  fs::remove(directory_ / own_name_, ignored);
 }
 
-OtherProcesses ProcessGroup::Others() const { return Count(false); }
-OtherProcesses ProcessGroup::OthersListening() const { return Count(true); }
+OtherProcesses ProcessGroup::Others() const { return CountOthers(Which::kAll); }
 
-// A process's file holds something while it listens.
-void ProcessGroup::SetListening(bool listens) {
-  const off_t size = listens ? 1 : 0;
-  static_cast<void>(ftruncate(own_fd_, size) == 0);
+OtherProcesses ProcessGroup::OthersListening() const { return CountOthers(Which::kListening); }
+
+void ProcessGroup::SetListening(bool listening) {
+  const off_t size = listening ? 1 : 0;
+  static_cast<void>(ftruncate(own_file_.get(), size) == 0);
 }
 
-OtherProcesses ProcessGroup::Count(bool listening_only) const {
+OtherProcesses ProcessGroup::CountOthers(Which which) const {
   OtherProcesses others;
-  for (const std::string& name : Present(listening_only))
-    ++(name < own_ ? others.older : others.newer);
+  for (const std::string& name : OtherMembers(which)) {
+    if (name < own_name_)
+      ++others.older;
+    else
+      ++others.newer;
+  }
   return others;
 }
 
-std::vector<std::string> ProcessGroup::Present(bool listening_only) const {
+std::vector<std::string> ProcessGroup::OtherMembers(Which which) const {
   std::vector<std::string> names;
   std::error_code error;
-  for (fs::directory_iterator at(folder_, error), end; !error && at != end; at.increment(error)) {
-    const std::string name = at->path().filename().string();
-    if (!name.starts_with(kProcess) || name == own_)
+  for (fs::directory_iterator entry(directory_, error), end; !error && entry != end; entry.increment(error)) {
+    const std::string name = entry->path().filename().string();
+    if (!name.starts_with(kMemberPrefix) || name == own_name_)
       continue;
     std::error_code ignored;
-    if (!IsHeld(at->path())) {  // of one that was killed
-      fs::remove(at->path(), ignored);
+    if (!IsRunning(entry->path())) {
+      fs::remove(entry->path(), ignored);
       fs::remove(SocketOf(name), ignored);
-    } else if (!listening_only || fs::file_size(at->path(), ignored) > 0) {
+    } else if (which == Which::kAll || fs::file_size(entry->path(), ignored) > 0) {
       names.push_back(name);
     }
   }
@@ -109,58 +106,62 @@
   return names;
 }
 
-// A socket's path must be short: the time alone.
-std::string ProcessGroup::SocketOf(const std::string& process) const {
-  return (folder_ / ("jobs-" + process.substr(std::strlen(kProcess)))).string();
+// The shorter prefix keeps the path within the length that a socket's path may have.
+std::string ProcessGroup::SocketOf(const std::string& member) const {
+  return (directory_ / (std::string(kSocketPrefix) + member.substr(kMemberPrefix.size()))).string();
 }
 
-std::string ProcessGroup::OwnSocket() const { return SocketOf(own_); }
+std::string ProcessGroup::OwnSocket() const { return SocketOf(own_name_); }
 
 std::string ProcessGroup::NewestListeningSocket() const {
-  const std::vector<std::string> names = Present(true);
+  const std::vector<std::string> names = OtherMembers(Which::kListening);
   return names.empty() ? "" : SocketOf(names.back());
 }
 
 bool ProcessGroup::Changed() {
   std::error_code error;
-  const auto written = fs::last_write_time(folder_, error);
-  return !error && std::exchange(looked_at_, written) != written;
+  const auto written = fs::last_write_time(directory_, error);
+  return !error && std::exchange(checked_time_, written) != written;
 }
 
 bool ProcessGroup::BansChanged() const {
   std::error_code error;
-  const auto written = fs::last_write_time(folder_ / kBans, error);
-  return !error && written != read_at_;
+  const auto written = fs::last_write_time(directory_ / kBansFile, error);
+  return !error && written != bans_read_time_;
 }
 
 std::optional<BanList> ProcessGroup::ReadBans() {
   std::error_code error;
-  // Before the text: what is written in between is read again.
-  const auto written = fs::last_write_time(folder_ / kBans, error);
+  // Taken before the file is read: a replacement in between then counts as a change and is read again.
+  const auto written = fs::last_write_time(directory_ / kBansFile, error);
   if (error)
     return BanList{};
-  std::ifstream file(folder_ / kBans);
+  std::ifstream file(directory_ / kBansFile);
   std::ostringstream text;
   text << file.rdbuf();
-  read_at_ = written;
+  bans_read_time_ = written;
   return DecodeBans(text.str());
 }
 
 BanList ProcessGroup::ChangeBans(const std::function<void(BanList*)>& change) {
-  const OpenFile lock(folder_ / kBansLock, O_RDWR | O_CREAT);
-  if (!lock.opened() || !lock.Lock(LOCK_EX))
-    Throw("cannot lock", folder_ / kBansLock);
+  const UniqueDescriptor lock_file = OpenFile(directory_ / kBansLockFile, O_RDWR | O_CREAT);
+  if (!lock_file.valid() || !Lock(lock_file, LOCK_EX))
+    ThrowSystemError("cannot lock", directory_ / kBansLockFile);
   BanList bans = ReadBans().value_or(BanList{});
   change(&bans);
-  const fs::path fresh = folder_ / (own_ + ".bans");
-  std::ofstream file(fresh, std::ios::trunc);
+  WriteBans(bans);
+  return bans;
+}
+
+void ProcessGroup::WriteBans(const BanList& bans) const {
+  const fs::path next = directory_ / (own_name_ + kNextBansSuffix);
+  std::ofstream file(next, std::ios::trunc);
   file << EncodeBans(bans);
   file.close();
   if (!file)
-    Throw("cannot write", fresh);
-  if (std::rename(fresh.c_str(), (folder_ / kBans).c_str()) != 0)
-    Throw("cannot replace", folder_ / kBans);
-  return bans;
+    ThrowSystemError("cannot write", next);
+  if (std::rename(next.c_str(), (directory_ / kBansFile).c_str()) != 0)
+    ThrowSystemError("cannot replace", directory_ / kBansFile);
 }
 
 }  // namespace aldersill::upgrade
