--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,18 +1,10 @@
-// The command line: which sub-command, with what. docs/cli.md is its page.
+// The command line: parses the arguments and runs the sub-command that they name. Documented in docs/cli.md.
 #ifndef ALDERSILL_SRC_CLI_COMMAND_LINE_H_
 #define ALDERSILL_SRC_CLI_COMMAND_LINE_H_
 
 namespace aldersill {
 
-// Exit statuses, stated in --help as well.
-enum ExitStatus : int {
-  kDone = 0,
-  kFailed = 1,       // it could not do what it was asked: a bad configuration, an address that is taken
-  kUsage = 2,        // a command line that makes no sense
-  kUnreachable = 3,  // no running instance answers at the control socket
-};
-
-// Runs the sub-command named, `serve` where none is; the program's exit status.
+// Runs the sub-command, `serve` if none is named. Returns the program's exit status, an ExitStatus.
 int RunCommandLine(int argc, char** argv);
 
 }  // namespace aldersill
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -2,105 +2,112 @@
 
 #include <sys/socket.h>
 #include <sys/stat.h>
-#include <sys/un.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 #include <cstring>
 #include <stdexcept>
+#include <string_view>
 #include <utility>
 
+#include "net/unique_descriptor.h"
+#include "net/unix_address.h"
+
 namespace aldersill::control {
 namespace {
 
-constexpr LineServer::Limits kLimits{8, 128, 2 * kSecond};
+constexpr LineServer::Limits kServerLimits{8, 128, 2 * kSecond};
+constexpr int kBacklog = 8;
+constexpr timeval kQueryTimeout{5, 0};
+constexpr std::size_t kMaxAnswerBytes = std::size_t{1} << 24;
 
+// Throws for a path that is too long.
 sockaddr_un AddressOf(const std::string& path) {
-  sockaddr_un address{};
-  address.sun_family = AF_UNIX;
-  if (path.size() >= sizeof(address.sun_path))
+  const auto address = MakeUnixAddress(path);
+  if (!address)
     throw std::runtime_error("control.socket: " + path + " is longer than a socket's path can be");
-  std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
-  return address;
+  return *address;
 }
 
-// A descriptor that closes itself.
-class Descriptor {
- public:
-  explicit Descriptor(int fd) : fd_(fd) {}
-  ~Descriptor() {
-    if (fd_ >= 0)
-      close(fd_);
-  }
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
-  int get() const { return fd_; }
-  int Release() { return std::exchange(fd_, -1); }
-
- private:
-  int fd_;
-};
-
-bool SomebodyListens(const sockaddr_un& address) {
-  const Descriptor probe(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  return connect(probe.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
+bool Connect(const UniqueDescriptor& socket, const sockaddr_un& address) {
+  return connect(socket.get(), ToGenericAddress(address), sizeof(address)) == 0;
 }
 
-}  // namespace
+bool IsListenedOn(const sockaddr_un& address) {
+  const UniqueDescriptor probe(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  return Connect(probe, address);
+}
 
-Server::Server(event_base* base, const std::string& path,
-               std::function<std::optional<std::string>(const std::string&)> answer)
-    : path_(path), server_(base, kLimits, [answer = std::move(answer)](const std::string& question) {
-        return answer(question).value_or("{\"error\":\"no such question\"}") + "\n";
-      }) {
-  const sockaddr_un address = AddressOf(path);
-  if (SomebodyListens(address))
-    throw std::runtime_error("control.socket: another instance listens on " + path);
+void RemoveSocketFile(const std::string& path) {
   struct stat status {};
   if (lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode))
     unlink(path.c_str());
-  Descriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const mode_t before = umask(0177);
-  const int bound = bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
+}
+
+// Creates the socket's file with access for its owner alone.
+UniqueDescriptor BindForOwner(const std::string& path, const sockaddr_un& address) {
+  constexpr mode_t kNotOwner = 0177;
+  UniqueDescriptor bound(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const mode_t previous_mask = umask(kNotOwner);
+  const int result = bind(bound.get(), ToGenericAddress(address), sizeof(address));
   const int error = errno;
-  umask(before);
-  if (bound != 0)
+  umask(previous_mask);
+  if (result != 0)
     throw std::runtime_error("control.socket: cannot listen on " + path + ": " + std::strerror(error));
-  EventPtr<evconnlistener> listener(
-      evconnlistener_new(base, &LineServer::OnAccept, &server_, LEV_OPT_CLOSE_ON_FREE, 8, fd.get()));
+  return bound;
+}
+
+bool SendAll(const UniqueDescriptor& socket, std::string_view text) {
+  return send(socket.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
+}
+
+// Without its end.
+std::optional<std::string> ReceiveLine(const UniqueDescriptor& socket) {
+  std::string line;
+  std::array<char, 4096> buffer{};
+  while (!line.ends_with('\n')) {
+    if (line.size() > kMaxAnswerBytes)
+      return std::nullopt;
+    const ssize_t received = recv(socket.get(), buffer.data(), buffer.size(), 0);
+    if (received <= 0)
+      return std::nullopt;
+    line.append(buffer.data(), static_cast<std::size_t>(received));
+  }
+  line.pop_back();
+  return line;
+}
+
+}  // namespace
+
+Server::Server(event_base* base, std::string path, QueryHandler handler)
+    : path_(std::move(path)),
+      server_(base, kServerLimits, [handler = std::move(handler)](const std::string& query) {
+        return handler(query).value_or(R"({"error":"no such question"})") + "\n";
+      }) {
+  const sockaddr_un address = AddressOf(path_);
+  if (IsListenedOn(address))
+    throw std::runtime_error("control.socket: another instance listens on " + path_);
+  RemoveSocketFile(path_);
+  UniqueDescriptor bound = BindForOwner(path_, address);
+  EventPtr<evconnlistener> listener(evconnlistener_new(base, &LineServer::OnAccept, &server_,
+                                                       LEV_OPT_CLOSE_ON_FREE, kBacklog, bound.get()));
   if (listener == nullptr)
-    throw std::runtime_error("control.socket: cannot listen on " + path);
-  fd.Release();
+    throw std::runtime_error("control.socket: cannot listen on " + path_);
+  bound.Release();  // the listener owns it
   server_.Listen(std::move(listener));
 }
 
 Server::~Server() { unlink(path_.c_str()); }
 
-std::optional<std::string> Ask(const std::string& path, const std::string& question) {
+std::optional<std::string> Query(const std::string& path, const std::string& query) {
   const sockaddr_un address = AddressOf(path);
-  const Descriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const timeval patience{5, 0};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
-  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof(patience));
-  if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0)
-    return std::nullopt;
-  const std::string line = question + "\n";
-  if (send(fd.get(), line.data(), line.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(line.size()))
+  const UniqueDescriptor connection(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  for (const int option : {SO_RCVTIMEO, SO_SNDTIMEO})
+    setsockopt(connection.get(), SOL_SOCKET, option, &kQueryTimeout, sizeof(kQueryTimeout));
+  if (!Connect(connection, address) || !SendAll(connection, query + "\n"))
     return std::nullopt;
-  std::string answer;
-  char buffer[4096];
-  for (;;) {
-    const ssize_t got = recv(fd.get(), buffer, sizeof(buffer), 0);
-    if (got <= 0)
-      return std::nullopt;
-    answer.append(buffer, static_cast<std::size_t>(got));
-    if (answer.ends_with('\n'))
-      break;
-    if (answer.size() > (1 << 24))
-      return std::nullopt;
-  }
-  answer.pop_back();
-  return answer;
+  return ReceiveLine(connection);
 }
 
 }  // namespace aldersill::control
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -1,5 +1,5 @@
-// The control socket: a Unix socket on which a running instance answers questions, one line each way.
-// Questions only: nothing can be changed over it. The file is its owner's alone.
+// The control socket: a Unix socket on which a running dispatcher answers queries, one line each way. Queries
+// only read; nothing can be changed over it. Only the file's owner can connect.
 #ifndef ALDERSILL_SRC_CONTROL_CONTROL_H_
 #define ALDERSILL_SRC_CONTROL_CONTROL_H_
 
@@ -13,22 +13,26 @@
 
 class Server {
  public:
-  // `answer`: what to say to a question, without a line's end; nothing for one that is not known. Throws
-  // std::runtime_error if it cannot listen, as where a running instance does. A file that a dead one left is
-  // replaced.
-  Server(event_base* base, const std::string& path,
-         std::function<std::optional<std::string>(const std::string&)> answer);
+  // The answer to a query, without a line end; nothing for an unknown query.
+  using QueryHandler = std::function<std::optional<std::string>(const std::string& query)>;
+
+  // Listens at `path`. Replaces a socket that a killed process left there. Throws std::runtime_error if it
+  // cannot listen, as where another process does.
+  Server(event_base* base, std::string path, QueryHandler handler);
+  // Removes the socket's file.
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
  private:
-  std::string path_;
+  const std::string path_;
   LineServer server_;
 };
 
-// Asks the instance that listens there, waiting for 5 s at most; nothing if none does, or it does not answer.
-std::optional<std::string> Ask(const std::string& path, const std::string& question);
+// Sends a query to the process that listens at `path` and waits for the answer, without its line end. Each
+// read and write may take 5 s. Nothing if no process listens there or the answer does not arrive complete.
+// Throws std::runtime_error for a path that no socket can have.
+std::optional<std::string> Query(const std::string& path, const std::string& query);
 
 }  // namespace aldersill::control
 
--- a/tests/daemon/cluster_test.cpp
+++ b/tests/daemon/cluster_test.cpp
@@ -101,7 +101,7 @@
   tools::UdpRelay& relay() { return relay_; }
 
   nlohmann::json Ask(int i, const char* question) const {
-    const auto answer = control::Ask(Socket(i), question);
+    const auto answer = control::Query(Socket(i), question);
     return answer ? nlohmann::json::parse(*answer) : nlohmann::json::object();
   }
   std::string StateOf(int seen_by, int whom) const {
