--- a/tests/fleet/checker.cpp
+++ b/tests/fleet/checker.cpp
@@ -1,326 +1,355 @@
 #include "fleet/checker.h"
 
 #include <algorithm>
-#include <cmath>
-#include <deque>
+#include <map>
 #include <optional>
-#include <utility>
+
+#include "fleet/drain_rule.h"
+#include "fleet/lease_rule.h"
+#include "fleet/slow_start_rule.h"
 
 namespace aldersill::fleet {
 namespace {
 
-using What = Seen::What;
+using Kind = Observation::Kind;
 
-constexpr int kBegunLateBreaks = 3, kFewestSentOn = 5;
-const std::string kClosedAndSent = "sent on by a dispatcher that closed its connection with no answer";
+// A few attempts may cross their client's leaving: only from these counts on is a rule broken.
+constexpr int kLateAttemptsToFail = 3, kForwardedToFail = 5;
 
-struct Story {
+// What was observed of one request so far.
+struct RequestState {
   std::string job_class;
   int dispatcher = -1;
   int answers = 0, attempts = 0, runs = 0;
-  bool broken = false, excused = false, left = false;
-  std::int64_t until = 0;
-  std::optional<std::int64_t> over;  // answered or left: its attempts are to be stopped
-  bool waited = false;               // left before its first attempt
-  std::set<std::uint64_t> out;
-  std::set<int> crossed;  // dispatchers that closed its connection
+  bool connection_lost = false, dispatcher_killed = false, client_left = false;
+  bool left_before_attempt = false;
+  std::int64_t deadline = 0;
+  std::optional<std::int64_t> ended_at;  // answered, or left by its client: attempts must be stopped
+  std::set<std::uint64_t> open_attempts;
+  std::set<int> closed_by;  // dispatchers that closed its connection without an answer
   std::set<std::string> results;
 };
 
-// Since when a dispatcher has had to leave a worker alone.
-class Drains {
+// Takes the observations one by one. Each Check method is one rule.
+class Checker {
  public:
-  explicit Drains(const Rules& rules) : rules_(rules) {}
-
-  void Changed(const Seen& s) {
-    if (s.status == 1) {
-      out_.erase(s.worker);
-      for (auto& [pair, since] : counts_as_told_) {
-        if (pair.second == s.worker)
-          since.reset();
-      }
-      return;
-    }
-    out_.insert(s.worker);
-    for (const int d : dispatchers_)
-      CountAsTold(d, s.worker, s.at);
-  }
-  // What came to discovery while it could not be reached counts from its return on.
-  void Reachable(const Seen& s) {
-    if (s.status == 0) {
-      cut_off_.insert(s.dispatcher);
-    } else if (cut_off_.erase(s.dispatcher) > 0) {
-      for (const int w : out_) {
-        if (!counts_as_told_[{s.dispatcher, w}])
-          CountAsTold(s.dispatcher, w, s.at);
-      }
-    }
-  }
-  void Told(const Seen& s) {
-    auto& since = told_[{s.dispatcher, s.worker}];
-    if (s.status == 1) {
-      since.reset();
-    } else if (!since) {
-      since = s.at;
-    }
-  }
-  // A new life knows nothing.
-  void Started(const Seen& s) {
-    dispatchers_.insert(s.dispatcher);
-    std::erase_if(told_, [&](const auto& t) { return t.first.first == s.dispatcher; });
-    for (const int w : out_)
-      CountAsTold(s.dispatcher, w, s.at);
-  }
-  // Nobody reads while it stands still.
-  void Resumed(const Seen& s) {
-    for (auto& [pair, since] : told_) {
-      if (pair.first == s.dispatcher && since)
-        since = s.at;
-    }
-    for (auto& [pair, since] : counts_as_told_) {
-      if (pair.first == s.dispatcher && since)
-        since = std::max(*since, s.at + rules_.told_by);
-    }
-  }
-  bool Forbids(const Seen& attempt) const {
-    const auto late = [&](const auto& since) {
-      const auto found = since.find({attempt.dispatcher, attempt.worker});
-      return found != since.end() && found->second &&
-             attempt.at > *found->second + rules_.drain_grace + rules_.slack;
-    };
-    return late(told_) || late(counts_as_told_);
-  }
+  explicit Checker(const Rules& rules) : rules_(rules), drains_(rules), slow_start_(rules) {}
+
+  void Add(const Observation& seen);
+  Verdict Finish();
 
  private:
-  void CountAsTold(int dispatcher, int worker, std::int64_t at) {
-    auto& since = counts_as_told_[{dispatcher, worker}];
-    since.reset();
-    if (!cut_off_.contains(dispatcher))
-      since = at + rules_.told_by;
+  void AddFleetObservation(const Observation& seen);
+  void AddRequestObservation(const Observation& seen);
+  void DispatcherKilled(const Observation& killed);
+  void DispatcherResumed(const Observation& resumed);
+  void RequestSent(RequestState* request, bool known, const Observation& sent);
+  void Answered(RequestState* request, const Observation& answer);
+  void ClosedUnanswered(RequestState* request, const Observation& closed);
+  void ClientLeft(RequestState* request, const Observation& left);
+  void AttemptStarted(RequestState* request, bool known, const Observation& attempt);
+  void AttemptEnded(RequestState* request, const Observation& ended);
+  void JobStarted(RequestState* request, const Observation& started);
+  void RestartFinished(const Observation& restart);
+
+  void CheckAnswerIsGenuine(const RequestState& request, const Observation& answer);
+  void CheckNotForwardedAfterClose(const RequestState& request, const Observation& attempt);
+  void CheckAttemptsAfterLeaving(const RequestState& request, const Observation& attempt);
+  void CheckSlowStart(const Observation& attempt);
+  void CheckAttemptCount(const RequestState& request, const Observation& attempt);
+  void CheckConcurrentAttempts(const RequestState& request, const Observation& attempt);
+  void CheckAttemptStopped(const RequestState& request, const Observation& ended);
+  void CheckOpenAttemptsStopped(const Observation& end);
+  void CheckFirstAttemptsAfterLeaving();
+  void CheckRestarts();
+  void CheckAllAnswered();
+
+  void Violate(const std::string& rule, const Observation& seen) { Violate(rule, seen.request); }
+  void Violate(const std::string& rule, const std::string& request) {
+    verdict_.violations.push_back(rule + ": " + request);
   }
 
-  using Since = std::map<std::pair<int, int>, std::optional<std::int64_t>>;
   const Rules& rules_;
-  std::set<int> dispatchers_, out_, cut_off_;
-  Since told_, counts_as_told_;
+  Verdict verdict_;
+  std::map<std::string, RequestState> requests_;
+  DrainRule drains_;
+  SlowStartRule slow_start_;
+  LeaseRule lease_;
 };
 
-// What workers that have just been started get from all dispatchers together.
-class ColdWorkers {
- public:
-  explicit ColdWorkers(const Rules& rules) : rules_(rules) {}
+void Checker::Add(const Observation& seen) {
+  AddFleetObservation(seen);
+  if (!seen.request.empty())
+    AddRequestObservation(seen);
+}
 
-  void Changed(const Seen& s) {
-    got_[s.worker].clear();
-    since_[s.worker].reset();
-    if (s.status == 1)
-      since_[s.worker] = s.at;
+void Checker::AddFleetObservation(const Observation& seen) {
+  switch (seen.kind) {
+    case Kind::kDispatcherKilled:
+      return DispatcherKilled(seen);
+    case Kind::kDispatcherStarted:
+      return drains_.DispatcherStarted(seen);
+    case Kind::kDispatcherResumed:
+      return DispatcherResumed(seen);
+    case Kind::kWorkerChanged:
+      drains_.WorkerChanged(seen);
+      return slow_start_.WorkerChanged(seen);
+    case Kind::kWorkerAnnounced:
+      return drains_.WorkerAnnounced(seen);
+    case Kind::kDiscoveryReachable:
+      return drains_.DiscoveryReachable(seen);
+    case Kind::kRestartFinished:
+      return RestartFinished(seen);
+    case Kind::kLeaseReported:
+      return lease_.LeaseReported(seen);
+    case Kind::kRunEnded:
+      return CheckOpenAttemptsStopped(seen);
+    default:
+      return;
   }
-  // Calls in the window that ends with this one, as a share of what may come by chance.
-  double Got(const Seen& attempt) {
-    const auto& since = since_[attempt.worker];
-    if (!since || attempt.at < *since || attempt.at >= *since + rules_.warm_after)
-      return 0.0;
-    auto& got = got_[attempt.worker];
-    got.push_back(attempt.at);
-    while (got.front() <= attempt.at - rules_.cold_window)
-      got.pop_front();
-    const double warm = static_cast<double>(attempt.at - *since) / static_cast<double>(rules_.warm_after);
-    const double window = 1.0 + static_cast<double>(rules_.slack) / static_cast<double>(rules_.cold_window);
-    const double n = rules_.cold_calls * (rules_.cold_share + (1.0 - rules_.cold_share) * warm) * window;
-    return static_cast<double>(got.size()) / (n + 2.0 * std::sqrt(n) + 2.0);
+}
+
+void Checker::AddRequestObservation(const Observation& seen) {
+  const bool known = requests_.contains(seen.request);
+  RequestState& request = requests_[seen.request];
+  switch (seen.kind) {
+    case Kind::kRequestSent:
+      return RequestSent(&request, known, seen);
+    case Kind::kAnswered:
+      return Answered(&request, seen);
+    case Kind::kClosedUnanswered:
+      return ClosedUnanswered(&request, seen);
+    case Kind::kConnectionLost:
+      request.connection_lost = true;
+      return;
+    case Kind::kClientLeft:
+      return ClientLeft(&request, seen);
+    case Kind::kAttemptStarted:
+      return AttemptStarted(&request, known, seen);
+    case Kind::kAttemptEnded:
+      return AttemptEnded(&request, seen);
+    case Kind::kJobStarted:
+      return JobStarted(&request, seen);
+    case Kind::kJobResult:
+      request.results.insert(seen.text);
+      return;
+    default:
+      return;
   }
+}
 
- private:
-  const Rules& rules_;
-  std::map<int, std::optional<std::int64_t>> since_;
-  std::map<int, std::deque<std::int64_t>> got_;
-};
+void Checker::DispatcherKilled(const Observation& killed) {
+  for (auto& [id, request] : requests_) {
+    if (request.dispatcher == killed.dispatcher && request.answers == 0)
+      request.dispatcher_killed = true;
+  }
+}
 
-// What one dispatcher held for certain: it said so, under one term, before and after.
-struct Held {
-  int dispatcher = -1;
-  std::uint64_t term = 0;
-  std::int64_t from = 0, to = 0;
-};
+// A stopped dispatcher has its time to answer and to stop attempts from SIGCONT on.
+void Checker::DispatcherResumed(const Observation& resumed) {
+  drains_.DispatcherResumed(resumed);
+  for (auto& [id, request] : requests_) {
+    if (request.dispatcher != resumed.dispatcher)
+      continue;
+    request.deadline = std::max(request.deadline, resumed.at);
+    if (request.ended_at)
+      request.ended_at = resumed.at;
+  }
+}
 
-void NoteHeld(const Seen& s, std::vector<Held>* held) {
-  const auto same = std::ranges::find_if(
-      *held, [&](const Held& h) { return h.dispatcher == s.dispatcher && h.term == s.attempt; });
-  if (same == held->end())
-    return held->push_back({s.dispatcher, s.attempt, s.at, s.at});
-  same->to = std::max(same->to, s.until);
+// Rule: the rig itself uses a request id once, except for a retry after a close without an answer.
+void Checker::RequestSent(RequestState* request, bool known, const Observation& sent) {
+  if (known && request->closed_by.empty())
+    Violate("sent twice under one id (a fault of the rig)", sent);
+  request->job_class = sent.job_class;
+  request->dispatcher = sent.dispatcher;
+  request->deadline = sent.deadline;
+  ++verdict_.requests;
 }
 
-}  // namespace
+// Rule: a request is answered once, by its deadline.
+void Checker::Answered(RequestState* request, const Observation& answer) {
+  if (++request->answers > 1)
+    Violate("answered twice", answer);
+  request->ended_at = answer.at;
+  if (answer.at > request->deadline + rules_.slack)
+    Violate("answered after its deadline", answer);
+  CheckAnswerIsGenuine(*request, answer);
+  if (answer.status == 200) {
+    ++verdict_.served;
+  } else if (answer.status == 429 || answer.status == 503) {
+    ++verdict_.rejected;
+  } else {
+    ++verdict_.failed;
+  }
+}
 
-const char* Name(What what) {
-  constexpr const char* kNames[] = {"asked",       "crossed", "answered",  "broken",    "left",    "attempt",
-                                    "attempt end", "ran",     "result",    "killed",    "started", "resumed",
-                                    "changed",     "told",    "reachable", "restarted", "holds",   "end"};
-  return kNames[static_cast<std::size_t>(what)];
+// Rule: a served request has a result that a worker made for it; and none is answered 4xx but 429, as the
+// rig's requests are well formed.
+void Checker::CheckAnswerIsGenuine(const RequestState& request, const Observation& answer) {
+  if (answer.status == 200 && !request.results.contains(answer.text))
+    Violate("served with a result that no worker made for it", answer);
+  if (answer.status >= 400 && answer.status < 500 && answer.status != 429)
+    Violate("answered " + std::to_string(answer.status), answer);
 }
 
-Judgement Judge(const std::vector<Seen>& seen, const Rules& rules) {
-  Judgement j;
-  std::map<std::string, Story> stories;
-  Drains drains(rules);
-  ColdWorkers cold(rules);
-  std::vector<Held> held;
-  const auto broken = [&j](const std::string& rule, const Seen& s) {
-    j.broken.push_back(rule + ": " + s.request);
-  };
-  const auto not_stopped = [&](const Story& story, const Seen& s) {
-    if (story.over && s.at > *story.over + rules.slack)
-      broken("an attempt was not stopped once it was given up", s);
-  };
-  for (const Seen& s : seen) {
-    if (s.what == What::kExcused) {
-      for (auto& [id, story] : stories)
-        story.excused |= story.dispatcher == s.dispatcher && story.answers == 0;
-    } else if (s.what == What::kStarted) {
-      drains.Started(s);
-    } else if (s.what == What::kResumed) {
-      drains.Resumed(s);
-      for (auto& [id, story] : stories) {
-        if (story.dispatcher != s.dispatcher)
-          continue;
-        story.until = std::max(story.until, s.at);
-        if (story.over)
-          story.over = s.at;
-      }
-    } else if (s.what == What::kChanged) {
-      drains.Changed(s);
-      cold.Changed(s);
-    } else if (s.what == What::kTold) {
-      drains.Told(s);
-    } else if (s.what == What::kReachable) {
-      drains.Reachable(s);
-    } else if (s.what == What::kRestarted) {
-      ++j.restarts;
-      j.unready += s.until == 0 || s.until > rules.ready_within + rules.slack;
-    } else if (s.what == What::kHolds) {
-      NoteHeld(s, &held);
-    } else if (s.what == What::kEnd) {
-      for (const auto& [id, story] : stories) {
-        Seen last = s;
-        last.request = id;
-        if (!story.out.empty())
-          not_stopped(story, last);
-      }
-    }
-    if (s.request.empty())
-      continue;
-    const bool known = stories.contains(s.request);
-    Story& story = stories[s.request];
-    switch (s.what) {
-      case What::kAsked:
-        if (known && story.crossed.empty())
-          broken("asked twice under one id (the rig's own fault)", s);
-        story.job_class = s.job_class;
-        story.dispatcher = s.dispatcher;
-        story.until = s.until;
-        ++j.asked;
-        break;
-      case What::kAnswered:
-        if (++story.answers > 1)
-          broken("answered twice", s);
-        story.over = s.at;
-        if (s.at > story.until + rules.slack)
-          broken("answered after its deadline", s);
-        if (s.status == 200) {
-          ++j.served;
-          if (!story.results.contains(s.text))
-            broken("served with what no worker made for it", s);
-        } else {
-          // What the rig asks for is well formed.
-          if (s.status >= 400 && s.status < 500 && s.status != 429)
-            broken("answered " + std::to_string(s.status), s);
-          ++(s.status == 429 || s.status == 503 ? j.refused : j.failed);
-        }
-        break;
-      case What::kCrossed:
-        if (story.attempts > 0)
-          broken(kClosedAndSent, s);
-        story.crossed.insert(s.dispatcher);
-        story.dispatcher = -1;
-        break;
-      case What::kBroken:
-        story.broken = true;
-        break;
-      case What::kLeft:
-        story.left = true;
-        story.over = s.at;
-        story.waited = story.attempts == 0;
-        j.waited += story.waited;
-        break;
-      case What::kAttempt:
-        if (!known)
-          broken("sent, and never asked for", s);
-        ++j.attempts;
-        if (story.crossed.contains(s.dispatcher))
-          broken(kClosedAndSent, s);
-        if (story.left && s.at > *story.over + rules.gone_after + rules.slack &&
-            ++j.begun_late >= kBegunLateBreaks)
-          broken("an attempt began after its client had left, the third or a later one", s);
-        if (story.waited && story.attempts == 0 && s.at > *story.over + rules.sent_on_after + rules.slack)
-          ++j.sent_on;
-        if (const double got = cold.Got(s); got > j.cold_most) {
-          if (got > 1.0 && j.cold_most <= 1.0)
-            broken("a cold worker got more than it bears, and chance allows", s);
-          j.cold_most = got;
-        }
-        if (++story.attempts > rules.most_attempts)
-          broken("more attempts than allowed", s);
-        if (!story.out.empty() && (!rules.second_copies || rules.once.contains(story.job_class)))
-          broken("two attempts out at once", s);
-        if (drains.Forbids(s))
-          broken("sent to a worker that it was told to leave alone", s);
-        story.out.insert(s.attempt);
-        break;
-      case What::kAttemptEnd:
-        if (story.out.erase(s.attempt) > 0)
-          not_stopped(story, s);
-        break;
-      case What::kRan:
-        ++j.ran;
-        if (++story.runs > 1 && rules.once.contains(story.job_class))
-          broken(story.job_class + " ran twice", s);
-        break;
-      case What::kResult:
-        story.results.insert(s.text);
-        break;
-      default:
-        break;
-    }
-  }
-  for (std::size_t i = 0; i < held.size(); ++i) {
-    for (std::size_t k = 0; k < i; ++k) {
-      const Held &a = held[i], &b = held[k];
-      if (a.dispatcher != b.dispatcher && std::max(a.from, b.from) < std::min(a.to, b.to))
-        j.broken.push_back("two held one duty at once: d" + std::to_string(b.dispatcher) + " under term " +
-                           std::to_string(b.term) + ", d" + std::to_string(a.dispatcher) + " under term " +
-                           std::to_string(a.term));
-    }
+// Rule: a dispatcher that closes a client's connection without an answer has not forwarded the request.
+void Checker::ClosedUnanswered(RequestState* request, const Observation& closed) {
+  if (request->attempts > 0)
+    Violate("forwarded by a dispatcher that closed its connection without an answer", closed);
+  request->closed_by.insert(closed.dispatcher);
+  request->dispatcher = -1;
+}
+
+void Checker::ClientLeft(RequestState* request, const Observation& left) {
+  request->client_left = true;
+  request->ended_at = left.at;
+  request->left_before_attempt = request->attempts == 0;
+  if (request->left_before_attempt)
+    ++verdict_.left_before_attempt;
+}
+
+// Rule: nothing is attempted that no client sent. And all the other rules that limit attempts.
+void Checker::AttemptStarted(RequestState* request, bool known, const Observation& attempt) {
+  if (!known)
+    Violate("attempted without a client's request", attempt);
+  ++verdict_.attempts;
+  CheckNotForwardedAfterClose(*request, attempt);
+  CheckAttemptsAfterLeaving(*request, attempt);
+  CheckSlowStart(attempt);
+  ++request->attempts;
+  CheckAttemptCount(*request, attempt);
+  CheckConcurrentAttempts(*request, attempt);
+  // The rule is described in drain_rule.h.
+  if (drains_.Forbids(attempt))
+    Violate("attempt sent to a worker that drains or is gone", attempt);
+  request->open_attempts.insert(attempt.attempt);
+}
+
+// Rule: a dispatcher that closed a client's connection without an answer does not forward the request later.
+void Checker::CheckNotForwardedAfterClose(const RequestState& request, const Observation& attempt) {
+  if (request.closed_by.contains(attempt.dispatcher))
+    Violate("forwarded by a dispatcher that closed its connection without an answer", attempt);
+}
+
+// Rule: once a client has left, no attempt of its request starts, from the third such case of a run on.
+// Counts late first attempts for CheckFirstAttemptsAfterLeaving.
+void Checker::CheckAttemptsAfterLeaving(const RequestState& request, const Observation& attempt) {
+  if (request.client_left && attempt.at > *request.ended_at + rules_.cancel_bound + rules_.slack &&
+      ++verdict_.late_attempts >= kLateAttemptsToFail)
+    Violate("an attempt started after its client had left, the third or a later one", attempt);
+  if (request.left_before_attempt && request.attempts == 0 &&
+      attempt.at > *request.ended_at + rules_.queued_cancel_bound + rules_.slack)
+    ++verdict_.forwarded_after_leaving;
+}
+
+// The rule is described in slow_start_rule.h. Reported once for a run.
+void Checker::CheckSlowStart(const Observation& attempt) {
+  const double load = slow_start_.AddAttempt(attempt);
+  if (load > 1.0 && verdict_.peak_slow_start_load <= 1.0)
+    Violate("a worker in slow start got more calls than it bears, and chance allows", attempt);
+  verdict_.peak_slow_start_load = std::max(verdict_.peak_slow_start_load, load);
+}
+
+// Rule: a request has no more attempts than the settings allow.
+void Checker::CheckAttemptCount(const RequestState& request, const Observation& attempt) {
+  if (request.attempts > rules_.max_attempts)
+    Violate("more attempts than allowed", attempt);
+}
+
+// Rule: a request has one attempt open at a time; where the settings allow hedged requests, two may be open
+// if its class may run twice.
+void Checker::CheckConcurrentAttempts(const RequestState& request, const Observation& attempt) {
+  const bool may_overlap = rules_.hedging_allowed && !rules_.run_once_classes.contains(request.job_class);
+  if (!request.open_attempts.empty() && !may_overlap)
+    Violate("two attempts open at once", attempt);
+}
+
+void Checker::AttemptEnded(RequestState* request, const Observation& ended) {
+  if (request->open_attempts.erase(ended.attempt) > 0)
+    CheckAttemptStopped(*request, ended);
+}
+
+// Rule: attempts are stopped once their request is answered or its client has left.
+void Checker::CheckAttemptStopped(const RequestState& request, const Observation& ended) {
+  if (request.ended_at && ended.at > *request.ended_at + rules_.slack)
+    Violate("an abandoned attempt was not stopped", ended);
+}
+
+// The same rule for attempts that are still open when the run ends.
+void Checker::CheckOpenAttemptsStopped(const Observation& end) {
+  for (const auto& [id, request] : requests_) {
+    Observation last = end;
+    last.request = id;
+    if (!request.open_attempts.empty())
+      CheckAttemptStopped(request, last);
   }
-  j.terms = static_cast<int>(held.size());
-  if (j.sent_on >= kFewestSentOn && j.sent_on * 4 > j.waited)
-    j.broken.push_back("sent on though their clients had left while they waited: " +
-                       std::to_string(j.sent_on) + " of " + std::to_string(j.waited));
-  if (j.unready * 10 > j.restarts)
-    j.broken.push_back("restarted dispatchers not ready in time: " + std::to_string(j.unready) + " of " +
-                       std::to_string(j.restarts));
-  for (const auto& [id, story] : stories) {
-    if (story.answers > 0 || story.dispatcher < 0)
+}
+
+// Rule: a job of a class that must never run twice runs once at most.
+void Checker::JobStarted(RequestState* request, const Observation& started) {
+  ++verdict_.jobs_started;
+  if (++request->runs > 1 && rules_.run_once_classes.contains(request->job_class))
+    Violate(request->job_class + " ran twice", started);
+}
+
+void Checker::RestartFinished(const Observation& restart) {
+  ++verdict_.restarts;
+  if (restart.startup_time == 0 || restart.startup_time > rules_.startup_bound + rules_.slack)
+    ++verdict_.slow_restarts;
+}
+
+// Rule: of the requests whose client left before their first attempt, at most four, or a quarter, are
+// attempted later all the same.
+void Checker::CheckFirstAttemptsAfterLeaving() {
+  if (verdict_.forwarded_after_leaving >= kForwardedToFail &&
+      verdict_.forwarded_after_leaving * 4 > verdict_.left_before_attempt)
+    verdict_.violations.push_back("forwarded although their clients had left before the first attempt: " +
+                                  std::to_string(verdict_.forwarded_after_leaving) + " of " +
+                                  std::to_string(verdict_.left_before_attempt));
+}
+
+// Rule: nine in ten restarted dispatchers are ready in time.
+void Checker::CheckRestarts() {
+  if (verdict_.slow_restarts * 10 > verdict_.restarts)
+    verdict_.violations.push_back(
+        "restarted dispatchers not ready in time: " + std::to_string(verdict_.slow_restarts) + " of " +
+        std::to_string(verdict_.restarts));
+}
+
+// Rule: every request is answered, unless its client left or its dispatcher was killed.
+void Checker::CheckAllAnswered() {
+  for (const auto& [id, request] : requests_) {
+    if (request.answers > 0 || request.dispatcher < 0)
       continue;
-    if (story.left || story.excused) {
-      ++(story.left ? j.left : j.excused);
+    if (request.client_left) {
+      ++verdict_.left_by_client;
+    } else if (request.dispatcher_killed) {
+      ++verdict_.lost_to_kills;
     } else {
-      j.broken.push_back(
-          std::string(story.broken ? "connection ended with no answer: " : "never answered: ") + id);
+      Violate(request.connection_lost ? "connection ended without an answer" : "never answered", id);
     }
   }
-  return j;
+}
+
+Verdict Checker::Finish() {
+  // The rule is described in lease_rule.h.
+  for (std::string& violation : lease_.Violations())
+    verdict_.violations.push_back(std::move(violation));
+  verdict_.lease_terms = lease_.terms();
+  CheckFirstAttemptsAfterLeaving();
+  CheckRestarts();
+  CheckAllAnswered();
+  return std::move(verdict_);
+}
+
+}  // namespace
+
+Verdict Check(const std::vector<Observation>& observations, const Rules& rules) {
+  Checker checker(rules);
+  for (const Observation& seen : observations)
+    checker.Add(seen);
+  return checker.Finish();
 }
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/question.cpp
+++ b/tests/fleet/control_request.cpp
@@ -1,4 +1,4 @@
-#include "fleet/question.h"
+#include "fleet/control_request.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -10,45 +10,46 @@
 
 namespace aldersill::fleet {
 
-Question::Question(event_base* base, const std::string& socket, const std::string& question, Done done)
+ControlRequest::ControlRequest(event_base* base, const std::string& socket, const std::string& command,
+                               Callback done)
     : done_(std::move(done)),
       stream_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
-      refused_(base, [this] { End(""); }) {
+      connect_failed_(base, [this] { Finish(""); }) {
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
   if (socket.size() >= sizeof(to.sun_path))
     throw std::runtime_error(socket + " is longer than a socket's path can be");
   std::memcpy(to.sun_path, socket.c_str(), socket.size() + 1);
   if (bufferevent_socket_connect(stream_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof(to)) != 0) {
-    refused_.Set(0);
+    connect_failed_.Set(0);
     return;
   }
-  // Only now: a refusal is told from within the call.
-  bufferevent_setcb(stream_.get(), &Question::OnRead, nullptr, &Question::OnEvent, this);
-  const std::string line = question + "\n";
+  // The callbacks are set only now, as a failed connect would call them from within the call above.
+  bufferevent_setcb(stream_.get(), &ControlRequest::OnRead, nullptr, &ControlRequest::OnEvent, this);
+  const std::string line = command + "\n";
   bufferevent_write(stream_.get(), line.data(), line.size());
   bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
 }
 
-void Question::OnRead(bufferevent* stream, void* arg) {
+void ControlRequest::OnRead(bufferevent* stream, void* arg) {
   std::size_t size = 0;
   char* line = evbuffer_readln(bufferevent_get_input(stream), &size, EVBUFFER_EOL_LF);
   if (line == nullptr)
     return;
   std::string answer(line, size);
   std::free(line);
-  static_cast<Question*>(arg)->End(std::move(answer));
+  static_cast<ControlRequest*>(arg)->Finish(std::move(answer));
 }
 
-void Question::OnEvent(bufferevent*, short what, void* arg) {
+void ControlRequest::OnEvent(bufferevent*, short what, void* arg) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0)
-    static_cast<Question*>(arg)->End("");
+    static_cast<ControlRequest*>(arg)->Finish("");
 }
 
-void Question::End(std::string answer) {
+void ControlRequest::Finish(std::string answer) {
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
-  refused_.Clear();
-  const Done done = std::exchange(done_, nullptr);
+  connect_failed_.Clear();
+  const Callback done = std::exchange(done_, nullptr);
   if (done)
     done(answer);
 }
--- a/tests/fleet/deployment.cpp
+++ b/tests/fleet/deployment.cpp
@@ -6,68 +6,109 @@
 namespace aldersill::fleet {
 namespace {
 
-constexpr std::int64_t kLongDial = 2'000'000, kLongCold = 120'000'000, kColdWindow = 2'000'000;
+using Json = nlohmann::json;
+
+// Times in microseconds.
+constexpr std::int64_t kLongDialTimeout = 2'000'000;
+constexpr std::int64_t kLongSlowStart = 120'000'000, kLongSlowStartWindow = 2'000'000;
+constexpr double kSmallSlowStartShare = 0.06, kFewSlots = 4.0;
 constexpr int kFewSockets = 128;
+constexpr double kQuotaPerSecond = 1000.0;  // of each tenant, so that quotas reject nothing
 
-nlohmann::json Read(const std::string& path) {
+Json ReadJson(const std::string& path) {
   std::ifstream file(path);
   if (!file)
     throw std::runtime_error("cannot read " + path);
-  return nlohmann::json::parse(file);
+  return Json::parse(file);
 }
 
-}  // namespace
-
-Deployment ReadDeployment(const std::string& name, Crossing crossing) {
-  Deployment d;
-  nlohmann::json jobs_ms;
-  d.config = Read(std::string(ALDERSILL_EXCHANGES) + "/config.json");
-  if (name == "first") {
-    jobs_ms = {{"certificado", {5, 60}}, {"promesa", {2, 40}}, {"cobro", {20, 200}}};
-  } else if (name == "consortium") {
-    nlohmann::json own = Read(ALDERSILL_CONSORTIUM);
-    d.config["settings"] = own.at("settings");
-    jobs_ms = own.at("jobs_ms");
-    d.figures = true;
-  } else {
+// Reads the configuration into `deployment`. Returns the range of run times of each job class.
+Json ReadConfig(const std::string& name, Deployment* deployment) {
+  deployment->config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
+  if (name == "first")
+    return {{"certificado", {5, 60}}, {"promesa", {2, 40}}, {"cobro", {20, 200}}};
+  if (name != "consortium")
     throw std::runtime_error("deployment '" + name + "' is unknown: it must be first or consortium");
+  const Json consortium = ReadJson(ALDERSILL_CONSORTIUM);
+  deployment->config["settings"] = consortium.at("settings");
+  deployment->clients_report_cost = true;
+  return consortium.at("jobs_ms");
+}
+
+void ApplyVariant(SettingsVariant variant, Deployment* deployment) {
+  Json& settings = deployment->config["settings"];
+  switch (variant) {
+    case SettingsVariant::kNone:
+      return;
+    case SettingsVariant::kLongDialTimeout:
+      settings["limits"]["dialTimeout"] = kLongDialTimeout;
+      return;
+    case SettingsVariant::kFewSockets:
+      deployment->config["limits"]["sockets"] = kFewSockets;
+      return;
+    case SettingsVariant::kLongSlowStart:
+      deployment->worker_slots = kFewSlots;
+      settings["rules"].update({{"coldShare", kSmallSlowStartShare},
+                                {"warmAfter", kLongSlowStart},
+                                {"fall", kLongSlowStartWindow}});
+      return;
   }
-  nlohmann::json& settings = d.config["settings"];
-  if (crossing == Crossing::kLeaving)
-    settings["limits"]["dialTimeout"] = kLongDial;
-  if (crossing == Crossing::kIdle)
-    d.config["limits"]["sockets"] = kFewSockets;
-  if (crossing == Crossing::kCold) {
-    d.slots = 4.0;
-    settings["rules"].update({{"coldShare", 0.06}, {"warmAfter", kLongCold}, {"fall", kColdWindow}});
-  }
-  for (auto& tenant : settings["tenants"]) {
-    tenant["quotaPerS"] = 1000.0;
-    d.tenants.push_back(tenant.at("name"));
+}
+
+void ReadTenants(Deployment* deployment) {
+  for (auto& tenant : deployment->config["settings"]["tenants"]) {
+    tenant["quotaPerS"] = kQuotaPerSecond;
+    deployment->tenants.push_back(tenant.at("name"));
   }
-  d.pushed = settings.at("discovery") == "automatic";
-  d.pulled = settings.at("report").at("how") == "pull";
-  d.notes = settings.at("familyInfo").value("tellsStart", false);
-  for (const auto& grade : settings.at("grades")) {
-    const std::string job_class = grade.at("name");
-    d.classes.push_back(
-        {job_class, jobs_ms.at(job_class).at(0), jobs_ms.at(job_class).at(1), grade.at("repeat") == "dedup"});
+}
+
+void ReadClasses(const Json& grades, const Json& jobs_ms, Deployment* deployment) {
+  for (const auto& grade : grades) {
+    const std::string name = grade.at("name");
+    const Json& range = jobs_ms.at(name);
+    deployment->classes.push_back({.name = name,
+                                   .min_ms = range.at(0),
+                                   .max_ms = range.at(1),
+                                   .has_idempotency_key = grade.at("repeat") == "dedup"});
     if (grade.at("repeat") == "fragile")
-      d.rules.once.insert(job_class);
+      deployment->rules.run_once_classes.insert(name);
   }
-  d.rules.most_attempts = settings.at("limits").at("maxAttempts");
-  d.rules.second_copies = settings.at("limits").at("secondCopies");
-  const auto& rules = settings.at("rules");
-  d.rules.drain_grace = rules.at("drainGrace").get<std::int64_t>();
-  double mean_ms = 0.0;
-  for (const JobClass& c : d.classes)
-    mean_ms += (c.least_ms + c.most_ms) / 2.0 / std::ssize(d.classes);
-  d.rules.cold_window = rules.at("fall").get<std::int64_t>();
-  d.rules.cold_calls =
-      rules.at("overloadFactor").get<double>() * d.slots * d.rules.cold_window / 1'000.0 / mean_ms;
-  d.rules.cold_share = rules.at("coldShare").get<double>();
-  d.rules.warm_after = rules.at("warmAfter").get<std::int64_t>();
-  return d;
+}
+
+double MeanJobMs(const std::vector<JobClass>& classes) {
+  double mean = 0.0;
+  for (const JobClass& job_class : classes)
+    mean += (job_class.min_ms + job_class.max_ms) / 2.0 / static_cast<double>(classes.size());
+  return mean;
+}
+
+void ReadRules(const Json& settings, Deployment* deployment) {
+  Rules& rules = deployment->rules;
+  rules.max_attempts = settings.at("limits").at("maxAttempts");
+  rules.hedging_allowed = settings.at("limits").at("secondCopies");
+  const Json& throttling = settings.at("rules");
+  rules.drain_grace = throttling.at("drainGrace").get<std::int64_t>();
+  rules.slow_start_window = throttling.at("fall").get<std::int64_t>();
+  rules.slow_start_share = throttling.at("coldShare").get<double>();
+  rules.slow_start_duration = throttling.at("warmAfter").get<std::int64_t>();
+  rules.warm_calls = throttling.at("overloadFactor").get<double>() * deployment->worker_slots *
+                     static_cast<double>(rules.slow_start_window) / 1'000.0 / MeanJobMs(deployment->classes);
+}
+
+}  // namespace
+
+Deployment ReadDeployment(const std::string& name, SettingsVariant variant) {
+  Deployment deployment;
+  const Json jobs_ms = ReadConfig(name, &deployment);
+  ApplyVariant(variant, &deployment);
+  ReadTenants(&deployment);
+  const Json& settings = deployment.config.at("settings");
+  deployment.lists_pushed = settings.at("discovery") == "automatic";
+  deployment.load_from_health_checks_only = settings.at("report").at("how") == "pull";
+  deployment.workers_report_progress = settings.at("familyInfo").value("tellsStart", false);
+  ReadClasses(settings.at("grades"), jobs_ms, &deployment);
+  ReadRules(settings, &deployment);
+  return deployment;
 }
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/discovery.cpp
+++ b/tests/fleet/discovery.cpp
@@ -11,7 +11,10 @@
 namespace aldersill::fleet {
 namespace {
 
-std::uint64_t Parameter(evhttp_request* request, const char* name, std::uint64_t fallback) {
+constexpr std::uint64_t kMaxWatchMs = 60'000;
+
+// A number of the request's query, or `fallback` if there is none of that name.
+std::uint64_t QueryNumber(evhttp_request* request, const char* name, std::uint64_t fallback) {
   const char* query = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(request));
   evkeyvalq pairs{};
   if (query == nullptr || evhttp_parse_query_str(query, &pairs) != 0)
@@ -24,142 +27,169 @@
 
 }  // namespace
 
-void FreeIfLeft(evhttp_request* request) {
+void FreeUnownedRequest(evhttp_request* request) {
   if (request != nullptr && evhttp_request_get_connection(request) == nullptr)
     evhttp_request_free(request);
 }
 
 StandInDiscovery::StandInDiscovery(event_base* base, bool pushed, nlohmann::json list, std::uint64_t version,
-                                   Told told)
+                                   AnnouncedCallback announced)
     : base_(base),
       pushed_(pushed),
       list_(std::move(list)),
-      changed_(list_.size(), version),
+      entry_versions_(list_.size(), version),
       version_(version),
-      told_(std::move(told)),
-      http_(evhttp_new(base)) {
+      announced_(std::move(announced)),
+      server_(evhttp_new(base)) {
   Listen(0);
-  evhttp_set_gencb(http_.get(), &StandInDiscovery::OnCall, this);
+  evhttp_set_gencb(server_.get(), &StandInDiscovery::OnCall, this);
 }
 
-StandInDiscovery::~StandInDiscovery() { http_.reset(); }
+StandInDiscovery::~StandInDiscovery() { server_.reset(); }
 
 void StandInDiscovery::Listen(std::uint16_t port) {
-  socket_ = evhttp_bind_socket_with_handle(http_.get(), "127.0.0.1", port);
+  socket_ = evhttp_bind_socket_with_handle(server_.get(), "127.0.0.1", port);
   if (socket_ == nullptr)
     throw std::runtime_error("discovery cannot listen");
   port_ = static_cast<std::uint16_t>(PortOf(evhttp_bound_socket_get_fd(socket_)));
 }
 
+// Keeps the port bound, so that no other process gets it.
+void StandInDiscovery::StopListening() {
+  evhttp_del_accept_socket(server_.get(), socket_);
+  const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  reserved_port_.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+  const sockaddr_in here = ToSockaddr({"127.0.0.1", port_});
+  if (evutil_make_listen_socket_reuseable(fd) != 0 ||
+      bind(fd, reinterpret_cast<const sockaddr*>(&here), sizeof(here)) != 0)
+    throw std::runtime_error("discovery cannot keep its port");
+}
+
 void StandInDiscovery::OnCall(evhttp_request* request, void* arg) {
   auto* self = static_cast<StandInDiscovery*>(arg);
-  // Refused, it has connections left at most on which nothing was asked then.
-  if ((self->down_ && !self->pushed_) || self->trouble_ == Trouble::kErrors ||
-      self->trouble_ == Trouble::kRefused)
-    return evhttp_send_error(request, 503, nullptr);
-  Call& call = self->calls_.emplace_back();
-  call.discovery = self;
+  if (self->AnswersWithError()) {
+    evhttp_send_error(request, 503, nullptr);
+  } else {
+    self->AddCall(request);
+  }
+}
+
+// In kRefused a call can only arrive on a connection that was idle when the failure began.
+bool StandInDiscovery::AnswersWithError() const {
+  return (down_ && !pushed_) || failure_mode_ == FailureMode::kErrors ||
+         failure_mode_ == FailureMode::kRefused;
+}
+
+void StandInDiscovery::AddCall(evhttp_request* request) {
+  Call& call = calls_.emplace_back();
+  call.discovery = this;
   call.request = request;
-  call.whole = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(request)) == nullptr;
-  call.since = Parameter(request, "index", 0);
-  call.silent = std::exchange(self->silence_next_, false) || self->trouble_ == Trouble::kLosses;
-  evhttp_connection_set_closecb(evhttp_request_get_connection(request), &StandInDiscovery::OnEnd, &call);
-  if (call.silent || self->down_)
+  call.full_list = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(request)) == nullptr;
+  call.since = QueryNumber(request, "index", 0);
+  call.ignored = std::exchange(ignore_next_, false) || failure_mode_ == FailureMode::kLosses;
+  evhttp_connection_set_closecb(evhttp_request_get_connection(request), &StandInDiscovery::OnConnectionEnd,
+                                &call);
+  if (call.ignored || down_)
     return;
-  const std::uint64_t wait_ms = Parameter(request, "wait", 0);
-  if (self->pushed_ || call.whole || call.since < self->version_ || wait_ms == 0)
-    return self->Answer(&call);
-  call.overdue = std::make_unique<Timer>(self->base_, [self, &call] { self->Answer(&call); });
-  call.overdue->Set(static_cast<Micros>(std::min<std::uint64_t>(wait_ms, 60'000)) * kMillisecond);
+  const std::uint64_t wait_ms = QueryNumber(request, "wait", 0);
+  if (pushed_ || call.full_list || call.since < version_ || wait_ms == 0)
+    return Answer(&call);
+  call.watch_timeout = std::make_unique<Timer>(base_, [this, &call] { Answer(&call); });
+  call.watch_timeout->Set(static_cast<Micros>(std::min(wait_ms, kMaxWatchMs)) * kMillisecond);
 }
 
-void StandInDiscovery::OnEnd(evhttp_connection*, void* arg) {
+void StandInDiscovery::OnConnectionEnd(evhttp_connection*, void* arg) {
   auto* call = static_cast<Call*>(arg);
-  FreeIfLeft(call->request);
+  FreeUnownedRequest(call->request);
   call->discovery->Remove(call);
 }
 
 void StandInDiscovery::Remove(Call* call) {
-  calls_.remove_if([call](const Call& c) { return &c == call; });
+  calls_.remove_if([call](const Call& other) { return &other == call; });
 }
 
-void StandInDiscovery::Answer(Call* call) {
+// A full list leaves deleted workers out; a list of changes names them.
+nlohmann::json StandInDiscovery::ServersFor(const Call& call) const {
   nlohmann::json servers = nlohmann::json::array();
-  for (std::size_t w = 0; w < list_.size(); ++w) {
-    const bool gone = list_[w].at("state") == "DELETED";
-    if (call->whole ? gone : changed_[w] <= call->since)
-      continue;
-    servers.push_back(list_[w]);
+  for (std::size_t worker = 0; worker < list_.size(); ++worker) {
+    const bool listed =
+        call.full_list ? list_[worker].at("state") != kDeleted : entry_versions_[worker] > call.since;
+    if (listed)
+      servers.push_back(list_[worker]);
   }
-  for (std::size_t w = 0; w < list_.size(); ++w) {
-    if (call->whole || changed_[w] > call->since)
-      told_(static_cast<int>(w), list_[w].at("state") == "SERVING");
+  return servers;
+}
+
+void StandInDiscovery::Announce(const Call& call) const {
+  for (std::size_t worker = 0; worker < list_.size(); ++worker) {
+    if (call.full_list || entry_versions_[worker] > call.since)
+      announced_(static_cast<int>(worker), list_[worker].at("state") == kServing);
   }
+}
+
+void StandInDiscovery::Answer(Call* call) {
+  Announce(*call);
   const std::string text =
-      nlohmann::json{{"version", version_}, {"full", call->whole}, {"servers", servers}}.dump();
+      nlohmann::json{{"version", version_}, {"full", call->full_list}, {"servers", ServersFor(*call)}}.dump();
   evhttp_request* request = call->request;
   evhttp_connection_set_closecb(evhttp_request_get_connection(request), nullptr, nullptr);
   Remove(call);
-  EventPtr<evbuffer> body(evbuffer_new());
+  const EventPtr<evbuffer> body(evbuffer_new());
   evbuffer_add(body.get(), text.data(), text.size());
   evhttp_send_reply(request, 200, "OK", body.get());
 }
 
-void StandInDiscovery::Change(int worker, const std::string& state, std::int64_t started_ms) {
+void StandInDiscovery::ChangeWorker(int worker, const std::string& state, std::int64_t started_ms) {
   list_[worker]["state"] = state;
   if (started_ms > 0)
     list_[worker]["started_ms"] = started_ms;
-  changed_[worker] = ++version_;
+  entry_versions_[worker] = ++version_;
   if (pushed_)
-    told_(worker, state == "SERVING");
-  std::vector<Call*> waiting;
+    announced_(worker, state == kServing);
+  std::vector<Call*> answerable;
   for (Call& call : calls_) {
-    if (!call.silent)
-      waiting.push_back(&call);
+    if (!call.ignored)
+      answerable.push_back(&call);
   }
-  for (Call* call : waiting)
+  for (Call* call : answerable)
     Answer(call);
 }
 
-void StandInDiscovery::Down(bool down) {
+void StandInDiscovery::SetDown(bool down) {
   down_ = down;
   if (down && !pushed_)
     ResetCalls();
 }
 
-void StandInDiscovery::Fail(Trouble trouble) {
-  const Trouble before = std::exchange(trouble_, trouble);
-  if (trouble != Trouble::kNone)
+void StandInDiscovery::SetFailureMode(FailureMode mode) {
+  const FailureMode before = std::exchange(failure_mode_, mode);
+  if (mode != FailureMode::kNone)
     ResetCalls();
-  if (trouble == Trouble::kRefused && before != trouble) {
-    evhttp_del_accept_socket(http_.get(), socket_);
-    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    reserved_.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
-    const sockaddr_in here = ToSockaddr({"127.0.0.1", port_});
-    if (evutil_make_listen_socket_reuseable(fd) != 0 ||
-        bind(fd, reinterpret_cast<const sockaddr*>(&here), sizeof(here)) != 0)
-      throw std::runtime_error("discovery cannot keep its port");
-  }
-  if (before == Trouble::kRefused && trouble != before) {
+  if (mode == before)
+    return;
+  if (mode == FailureMode::kRefused)
+    StopListening();
+  if (before == FailureMode::kRefused) {
     Listen(port_);
-    reserved_.reset();
+    reserved_port_.reset();
   }
 }
 
 void StandInDiscovery::ResetCalls() {
   std::vector<evhttp_connection*> open;
+  open.reserve(calls_.size());
   for (const Call& call : calls_)
     open.push_back(evhttp_request_get_connection(call.request));
   for (evhttp_connection* connection : open)
     evhttp_connection_free(connection);
 }
 
-void StandInDiscovery::Silence() {
+void StandInDiscovery::IgnorePendingCalls() {
   if (calls_.empty())
-    silence_next_ = true;
+    ignore_next_ = true;
   for (Call& call : calls_) {
-    call.silent = true;
-    call.overdue.reset();
+    call.ignored = true;
+    call.watch_timeout.reset();
   }
 }
 
--- /dev/null
+++ b/tests/fleet/dispatchers.cpp
@@ -0,0 +1,158 @@
+#include "fleet/dispatchers.h"
+
+#include <algorithm>
+#include <optional>
+#include <stdexcept>
+#include <utility>
+
+namespace aldersill::fleet {
+namespace {
+
+using Kind = Observation::Kind;
+
+constexpr int kReadinessTimeoutSeconds = 1;
+
+std::string LocalAddress(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+
+}  // namespace
+
+Dispatchers::Dispatchers(const RunContext& context, FleetDiscovery* discovery, ClusterMembership* cluster,
+                         std::string program)
+    : context_(context),
+      discovery_(discovery),
+      cluster_(cluster),
+      program_(std::move(program)),
+      processes_(context.table.dispatchers) {
+  for (Process& process : processes_)
+    process.owner = this;
+}
+
+void Dispatchers::Configure(int dispatcher) {
+  Process& process = processes_[dispatcher];
+  process.config = context_.deployment.config;
+  process.config["name"] = "d" + std::to_string(dispatcher);
+  process.config["discovery"] = LocalAddress(discovery_->port(dispatcher));
+  process.config["settings"]["peersTotal"] = context_.table.dispatchers;
+  // The list of the start of the run: a machine's cached list may be old. After a move discovery has other
+  // versions.
+  if (!discovery_->HasMoved(dispatcher))
+    process.config["known"] = {
+        {"version", 1}, {"full", true}, {"servers", discovery_->InitialList(dispatcher)}};
+  process.operator_settings = cluster_ != nullptr ? cluster_->OperatorSettings(dispatcher) : nlohmann::json{};
+  // The pipe of its log is not read while the rig runs, so that it must stay short.
+  process.operator_settings["logging"] = {{"lines_per_second", 1}};
+}
+
+void Dispatchers::Start(int dispatcher) {
+  Configure(dispatcher);
+  if (cluster_ != nullptr)
+    cluster_->ProcessStarting(dispatcher);
+  Process& process = processes_[dispatcher];
+  process.restarted_at = std::exchange(process.started_before, true) ? SteadyNow() : 0;
+  process.readiness_asked = false;
+  process.daemon = std::make_unique<tests::DaemonUnderTest>(process.config, process.operator_settings,
+                                                            "ALDERSILL_SETTINGS", " serving ", program_);
+  if (!process.daemon->ports().contains("http"))
+    throw std::runtime_error("a dispatcher did not start");
+  if (cluster_ != nullptr)
+    cluster_->ProcessStarted(dispatcher, process.daemon->ports().at("membership"));
+  process.state = ProcessState::kUp;
+  context_.recorder.Record({.kind = Kind::kDispatcherStarted, .dispatcher = dispatcher});
+  discovery_->RecordAgentState(dispatcher);
+}
+
+void Dispatchers::Kill(int dispatcher) {
+  context_.recorder.Record({.kind = Kind::kDispatcherKilled, .dispatcher = dispatcher});
+  processes_[dispatcher].state = ProcessState::kDown;
+  processes_[dispatcher].daemon.reset();
+}
+
+void Dispatchers::BeginTermination(int dispatcher) {
+  processes_[dispatcher].state = ProcessState::kTerminating;
+}
+
+void Dispatchers::SendTerminate(int dispatcher) { processes_[dispatcher].daemon->Signal(SIGTERM); }
+
+void Dispatchers::Pause(int dispatcher) {
+  processes_[dispatcher].state = ProcessState::kPaused;
+  processes_[dispatcher].daemon->Stop();
+}
+
+void Dispatchers::Resume(int dispatcher) {
+  processes_[dispatcher].daemon->Signal(SIGCONT);
+  processes_[dispatcher].state = ProcessState::kUp;
+  context_.recorder.Record({.kind = Kind::kDispatcherResumed, .dispatcher = dispatcher});
+}
+
+void Dispatchers::Reload(int dispatcher) {
+  Process& process = processes_[dispatcher];
+  process.config["discovery"] = LocalAddress(discovery_->port(dispatcher));
+  process.daemon->Write(process.config.dump(), process.operator_settings);
+  process.daemon->Signal(SIGHUP);
+}
+
+void Dispatchers::Poll() {
+  for (int dispatcher = 0; dispatcher < context_.table.dispatchers; ++dispatcher) {
+    Process& process = processes_[dispatcher];
+    if (process.daemon == nullptr)
+      continue;
+    AskReadiness(&process);
+    const std::optional<int> status = process.daemon->Ended();
+    if (!status)
+      continue;
+    if (process.state != ProcessState::kTerminating || *status != 0)
+      ++unexpected_exits_;
+    process.daemon.reset();
+    Start(dispatcher);
+  }
+}
+
+// Asks a restarted dispatcher, one request at a time, until it answers that it is ready.
+void Dispatchers::AskReadiness(Process* process) {
+  if (process->restarted_at == 0 || process->readiness_asked)
+    return;
+  process->readiness_asked = true;
+  process->readiness_connection.reset(
+      evhttp_connection_base_new(context_.base, nullptr, "127.0.0.1", process->daemon->ports().at("http")));
+  evhttp_connection_set_timeout(process->readiness_connection.get(), kReadinessTimeoutSeconds);
+  evhttp_request* request = evhttp_request_new(&Dispatchers::OnReadiness, process);
+  evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "origin.svc");
+  if (evhttp_make_request(process->readiness_connection.get(), request, EVHTTP_REQ_GET, "/-/ready") != 0)
+    process->readiness_asked = false;
+}
+
+void Dispatchers::OnReadiness(evhttp_request* request, void* arg) {
+  auto* process = static_cast<Process*>(arg);
+  process->readiness_asked = false;
+  if (request == nullptr || evhttp_request_get_response_code(request) != 200)
+    return;
+  const Micros startup_time = SteadyNow() - std::exchange(process->restarted_at, 0);
+  process->owner->context_.recorder.Record({.kind = Kind::kRestartFinished, .startup_time = startup_time});
+}
+
+bool Dispatchers::AllUp() const {
+  return std::ranges::all_of(processes_,
+                             [](const Process& process) { return process.state == ProcessState::kUp; });
+}
+
+bool Dispatchers::AllRestartsFinished() const {
+  const Rules& rules = context_.deployment.rules;
+  return std::ranges::all_of(processes_, [&rules](const Process& process) {
+    return process.restarted_at == 0 ||
+           SteadyNow() - process.restarted_at > rules.startup_bound + rules.slack;
+  });
+}
+
+void Dispatchers::RecordUnfinishedRestarts() {
+  for (const Process& process : processes_) {
+    if (process.restarted_at != 0)
+      context_.recorder.Record({.kind = Kind::kRestartFinished});
+  }
+}
+
+void Dispatchers::StopAll() {
+  for (Process& process : processes_)
+    process.daemon.reset();
+}
+
+}  // namespace aldersill::fleet
--- /dev/null
+++ b/tests/fleet/fleet_run.cpp
@@ -0,0 +1,162 @@
+#include "fleet/fleet_run.h"
+
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "fleet/cluster_membership.h"
+#include "fleet/dispatchers.h"
+#include "fleet/fault_injector.h"
+#include "fleet/fleet_discovery.h"
+#include "fleet/idle_clients.h"
+#include "fleet/recorder.h"
+#include "fleet/run_context.h"
+#include "fleet/scheduler.h"
+#include "fleet/service_clients.h"
+#include "fleet/worker_links.h"
+#include "fleet/worker_stand_ins.h"
+#include "net/event_loop.h"
+
+namespace aldersill::fleet {
+namespace {
+
+using Kind = Observation::Kind;
+
+constexpr Micros kTickInterval = 10 * kMillisecond;
+constexpr Micros kConvergenceBound = 30 * kSecond;
+constexpr int kMarginMs = 100;  // after the timetable's length
+
+// Owns the parts of one run and ends it once nothing is waited for.
+class FleetRun {
+ public:
+  FleetRun(const Timetable& table, const Deployment& deployment, const std::string& program)
+      : table_(table),
+        deployment_(deployment),
+        base_(event_base_new()),
+        scheduler_(base_.get()),
+        context_{base_.get(), table_, deployment_, recorder_, scheduler_},
+        workers_(context_),
+        links_(context_, workers_),
+        discovery_(context_, links_),
+        dispatchers_(context_, &discovery_, MakeCluster(), program),
+        clients_(context_, &dispatchers_),
+        idle_clients_(context_, &dispatchers_),
+        faults_(context_, {.workers = &workers_,
+                           .links = &links_,
+                           .discovery = &discovery_,
+                           .cluster = cluster_.get(),
+                           .dispatchers = &dispatchers_,
+                           .clients = &clients_,
+                           .idle_clients = &idle_clients_}),
+        tick_(base_.get(), [this] { Tick(); }) {}
+
+  RunResult Run() {
+    for (int dispatcher = 0; dispatcher < table_.dispatchers; ++dispatcher)
+      dispatchers_.Start(dispatcher);
+    ScheduleFaults();
+    ScheduleRequests();
+    ScheduleTick();
+    event_base_dispatch(base_.get());
+    dispatchers_.RecordUnfinishedRestarts();
+    recorder_.Record({.kind = Kind::kRunEnded});
+    dispatchers_.StopAll();
+    return TakeResult();
+  }
+
+ private:
+  ClusterMembership* MakeCluster() {
+    if (table_.members)
+      cluster_ = std::make_unique<ClusterMembership>(
+          context_, [this](int dispatcher) { return dispatchers_.IsRunning(dispatcher); });
+    return cluster_.get();
+  }
+
+  void ScheduleFaults() {
+    for (const Fault& fault : table_.faults)
+      scheduler_.RunIn(fault.at_ms, [this, fault] { faults_.Inject(fault); });
+  }
+
+  void ScheduleRequests() {
+    for (int number = 0; number < table_.requests; ++number)
+      scheduler_.RunIn(number * table_.length_ms / table_.requests,
+                       [this, number] { clients_.SendRequest(number); });
+  }
+
+  void ScheduleTick() {
+    tick_.Set(kTickInterval);
+    recorder_.clock().ExpectTickIn(kTickInterval);
+  }
+
+  // Restarts dispatchers that have ended, and ends the run once it is over.
+  void Tick() {
+    recorder_.clock().AccountForStall();
+    links_.DetectClosed();
+    dispatchers_.Poll();
+    if (IsOver()) {
+      event_base_loopbreak(base_.get());
+    } else {
+      ScheduleTick();
+    }
+  }
+
+  // Members have some time to converge after all else is over.
+  bool IsOver() {
+    if (!NothingIsPending())
+      return false;
+    const Micros now = recorder_.clock().Now();
+    if (!pending_until_)
+      pending_until_ = now;
+    converged_ = cluster_ == nullptr || cluster_->HasConverged();
+    return converged_ || now - *pending_until_ > kConvergenceBound;
+  }
+
+  bool NothingIsPending() const {
+    const bool all_sent = SteadyNow() - started_ >= (table_.length_ms + kMarginMs) * kMillisecond;
+    // An attempt that is never stopped must not keep the run going.
+    const bool stop_overdue = SteadyNow() - clients_.last_end() > 2 * deployment_.rules.slack;
+    return all_sent && dispatchers_.AllUp() && dispatchers_.AllRestartsFinished() &&
+           clients_.waiting() == 0 && (!links_.HasOpenAttempt() || stop_overdue);
+  }
+
+  RunResult TakeResult() {
+    RunResult result;
+    result.observations = recorder_.TakeObservations();
+    result.injected_faults = faults_.injected();
+    result.converged = converged_;
+    if (cluster_ != nullptr)
+      result.datagrams = cluster_->links().forwarded() + cluster_->links().dropped();
+    result.retried_elsewhere = clients_.retried_elsewhere();
+    result.flooding_clients = clients_.flooding();
+    result.unexpected_exits = dispatchers_.unexpected_exits();
+    result.seconds = static_cast<double>(SteadyNow() - started_) / kSecond;
+    return result;
+  }
+
+  // The parts are destroyed in the opposite order: callbacks of a part may use the ones above it.
+  const Timetable table_;
+  const Deployment deployment_;
+  EventPtr<event_base> base_;
+  Recorder recorder_;
+  Scheduler scheduler_;
+  RunContext context_;
+  WorkerStandIns workers_;
+  WorkerLinks links_;
+  FleetDiscovery discovery_;
+  std::unique_ptr<ClusterMembership> cluster_;  // null if the dispatchers do not know one another
+  Dispatchers dispatchers_;
+  ServiceClients clients_;
+  IdleClients idle_clients_;
+  FaultInjector faults_;
+  Timer tick_;
+  const Micros started_ = SteadyNow();
+  std::optional<Micros> pending_until_;  // since when nothing is waited for
+  bool converged_ = true;
+};
+
+}  // namespace
+
+RunResult RunTimetable(const Timetable& table, const Deployment& deployment, const std::string& program) {
+  return FleetRun(table, deployment, program).Run();
+}
+
+}  // namespace aldersill::fleet
--- /dev/null
+++ b/tests/fleet/recorder.cpp
@@ -0,0 +1,32 @@
+#include "fleet/recorder.h"
+
+#include <algorithm>
+
+namespace aldersill::fleet {
+namespace {
+
+// A tick that is later than this shows that the rig itself stalled.
+constexpr Micros kTickTolerance = 20 * kMillisecond;
+
+}  // namespace
+
+Micros RigClock::Now() const {
+  const Micros now = SteadyNow();
+  return now - stalled_ - LatenessAt(now);
+}
+
+void RigClock::AccountForStall() {
+  stalled_ += LatenessAt(SteadyNow());
+  next_tick_ = SteadyNow();
+}
+
+Micros RigClock::LatenessAt(Micros steady) const {
+  return std::max<Micros>(0, steady - next_tick_ - kTickTolerance);
+}
+
+void Recorder::RecordAt(Micros at, Observation observation) {
+  observation.at = at;
+  observations_.push_back(std::move(observation));
+}
+
+}  // namespace aldersill::fleet
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -13,8 +13,8 @@
 
 sockaddr_in Loopback(std::uint16_t port) { return ToSockaddr({"127.0.0.1", port}); }
 
-// Whether the peer has ended its sending, even if what it sent before is not read yet.
-bool PeerIsDone(int fd) {
+// Whether the peer has closed its side, even if bytes that it sent before have not been read yet.
+bool PeerHasClosed(int fd) {
   tcp_info info{};
   socklen_t size = sizeof(info);
   return fd < 0 || getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0 ||
@@ -23,21 +23,22 @@
 
 }  // namespace
 
-Relay::Relay(event_base* base, std::uint16_t to, std::uint64_t* attempts, Watcher watcher)
-    : base_(base), to_(to), attempts_(attempts), watcher_(std::move(watcher)) {
+Relay::Relay(event_base* base, std::uint16_t worker_port, std::uint64_t* attempt_counter, Observer observer)
+    : base_(base),
+      worker_port_(worker_port),
+      attempt_counter_(attempt_counter),
+      observer_(std::move(observer)) {
   const sockaddr_in any = Loopback(0);
   listener_.reset(evconnlistener_new_bind(base, &Relay::OnAccept, this,
                                           LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, -1,
                                           reinterpret_cast<const sockaddr*>(&any), sizeof(any)));
   if (listener_ == nullptr)
     throw std::runtime_error("a relay cannot listen");
-  sockaddr_in bound{};
-  socklen_t size = sizeof(bound);
-  getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&bound), &size);
-  port_ = ntohs(bound.sin_port);
-  sweep_ =
-      std::make_unique<Timer>(base, [this] { std::erase_if(flows_, [](const Flow& f) { return f.dead; }); });
+  port_ = static_cast<std::uint16_t>(PortOf(evconnlistener_get_fd(listener_.get())));
+  sweep_ = std::make_unique<Timer>(
+      base, [this] { std::erase_if(flows_, [](const Flow& flow) { return flow.closed; }); });
 }
+
 Relay::~Relay() = default;
 
 void Relay::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
@@ -45,94 +46,101 @@
   Flow& flow = relay->flows_.emplace_back();
   flow.relay = relay;
   flow.opened = SteadyNow();
-  flow.was_cut = relay->cut_there_;
+  flow.was_cut = relay->cut_to_worker_;
   flow.dispatcher.reset(bufferevent_socket_new(relay->base_, fd, BEV_OPT_CLOSE_ON_FREE));
   flow.worker.reset(bufferevent_socket_new(relay->base_, -1, BEV_OPT_CLOSE_ON_FREE));
-  const auto pipe = [&](Pipe* p, bufferevent* from, bufferevent* to) {
-    p->flow = &flow;
-    p->from = from;
-    p->to = to;
-    p->timer = std::make_unique<Timer>(relay->base_, [relay, p] { relay->EnqueueBroadcast(p); });
-    bufferevent_setcb(from, &Relay::OnRead, &Relay::OnDrained, &Relay::OnEvent, p);
-  };
-  pipe(&flow.there, flow.dispatcher.get(), flow.worker.get());
-  pipe(&flow.back, flow.worker.get(), flow.dispatcher.get());
-  if (!relay->cut_there_)
+  relay->OpenPipe(&flow.to_worker, &flow, flow.dispatcher.get(), flow.worker.get());
+  relay->OpenPipe(&flow.from_worker, &flow, flow.worker.get(), flow.dispatcher.get());
+  if (!relay->cut_to_worker_)
     bufferevent_enable(flow.dispatcher.get(), EV_READ);
-  const sockaddr_in to = Loopback(relay->to_);
+  const sockaddr_in to = Loopback(relay->worker_port_);
   if (bufferevent_socket_connect(flow.worker.get(), reinterpret_cast<const sockaddr*>(&to), sizeof(to)) != 0)
-    return relay->End(&flow);
-  if (!relay->cut_back_)
+    return relay->Close(&flow);
+  if (!relay->cut_from_worker_)
     bufferevent_enable(flow.worker.get(), EV_READ);
 }
 
-void Relay::OnRead(bufferevent*, void* pipe) {
-  auto* p = static_cast<Pipe*>(pipe);
-  p->flow->relay->Take(p);
+void Relay::OpenPipe(Pipe* pipe, Flow* flow, bufferevent* from, bufferevent* to) {
+  pipe->flow = flow;
+  pipe->from = from;
+  pipe->to = to;
+  pipe->timer = std::make_unique<Timer>(base_, [this, pipe] { Forward(pipe); });
+  bufferevent_setcb(from, &Relay::OnRead, &Relay::OnWritten, &Relay::OnEvent, pipe);
+}
+
+void Relay::OnRead(bufferevent*, void* arg) {
+  auto* pipe = static_cast<Pipe*>(arg);
+  pipe->flow->relay->ReadInput(pipe);
 }
 
-// Takes what has come and gives it to the queue that delays and thins it.
-void Relay::Take(Pipe* pipe) {
-  if (pipe->flow->dead || IsCut(*pipe))
+// Moves the bytes that have arrived to the queue that delays them and limits their rate.
+void Relay::ReadInput(Pipe* pipe) {
+  if (pipe->flow->closed || IsCut(*pipe))
     return;
   evbuffer* input = bufferevent_get_input(pipe->from);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   if (bytes.empty())
     return;
-  if (pipe == &pipe->flow->there)
-    LookAtHead(pipe->flow, bytes);
+  if (pipe == &pipe->flow->to_worker)
+    ParseHead(pipe->flow, bytes);
+  Enqueue(pipe, std::move(bytes));
+  Forward(pipe);
+}
+
+void Relay::Enqueue(Pipe* pipe, std::string bytes) {
   const Micros due = SteadyNow() + delay_;
-  if (trickle_ == 0) {
-    pipe->waiting.push_back({due, std::move(bytes)});
-  } else {
-    for (std::size_t at = 0, step = 1; at < bytes.size(); at += trickle_, ++step)
-      pipe->waiting.push_back({due + static_cast<Micros>(step) * kMillisecond, bytes.substr(at, trickle_)});
+  if (bytes_per_milli_ == 0) {
+    pipe->delayed.push_back({due, std::move(bytes)});
+    return;
   }
-  EnqueueBroadcast(pipe);
+  for (std::size_t at = 0, step = 1; at < bytes.size(); at += bytes_per_milli_, ++step)
+    pipe->delayed.push_back(
+        {due + static_cast<Micros>(step) * kMillisecond, bytes.substr(at, bytes_per_milli_)});
 }
 
-void Relay::EnqueueBroadcast(Pipe* pipe) {
-  Flow* flow = pipe->flow;
-  if (flow->dead || IsCut(*pipe))
+// Writes the bytes that are due; closes the flow once all has been written and nothing more arrives.
+void Relay::Forward(Pipe* pipe) {
+  if (pipe->flow->closed || IsCut(*pipe))
     return;
   const Micros now = SteadyNow();
-  for (; !pipe->waiting.empty() && pipe->waiting.front().due <= now; pipe->waiting.pop_front()) {
-    const std::string& bytes = pipe->waiting.front().bytes;
+  for (; !pipe->delayed.empty() && pipe->delayed.front().due <= now; pipe->delayed.pop_front()) {
+    const std::string& bytes = pipe->delayed.front().bytes;
     bufferevent_write(pipe->to, bytes.data(), bytes.size());
   }
-  if (!pipe->waiting.empty())
-    return pipe->timer->Set(pipe->waiting.front().due - now);
-  if (pipe->ended && evbuffer_get_length(bufferevent_get_output(pipe->to)) == 0)
-    End(flow);
+  if (!pipe->delayed.empty())
+    return pipe->timer->Set(pipe->delayed.front().due - now);
+  if (pipe->input_ended && evbuffer_get_length(bufferevent_get_output(pipe->to)) == 0)
+    Close(pipe->flow);
 }
 
-void Relay::OnDrained(bufferevent* to, void* pipe) {
-  // The pipe of this bufferevent is the one that reads from it; the one that has drained writes to it.
-  Flow* flow = static_cast<Pipe*>(pipe)->flow;
-  Pipe* drained = flow->there.to == to ? &flow->there : &flow->back;
-  if (drained->ended && drained->waiting.empty())
-    flow->relay->End(flow);
+void Relay::OnWritten(bufferevent* to, void* arg) {
+  // `arg` is the pipe that reads from this bufferevent; the one that has been written out is the other.
+  Flow* flow = static_cast<Pipe*>(arg)->flow;
+  const Pipe& written = flow->to_worker.to == to ? flow->to_worker : flow->from_worker;
+  if (written.input_ended && written.delayed.empty())
+    flow->relay->Close(flow);
 }
 
-void Relay::OnEvent(bufferevent*, short what, void* pipe) {
+void Relay::OnEvent(bufferevent*, short what, void* arg) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0)
     return;
-  auto* p = static_cast<Pipe*>(pipe);
-  Relay* relay = p->flow->relay;
-  if (p->flow->dead)
+  auto* pipe = static_cast<Pipe*>(arg);
+  Flow* flow = pipe->flow;
+  Relay* relay = flow->relay;
+  if (flow->closed)
     return;
-  if (p == &p->flow->there)
-    relay->Done(p->flow);
+  if (pipe == &flow->to_worker)
+    relay->EndAttempt(flow);
   if ((what & BEV_EVENT_ERROR) != 0)
-    return relay->End(p->flow);
-  relay->Take(p);
-  p->ended = true;
-  relay->EnqueueBroadcast(p);
+    return relay->Close(flow);
+  relay->ReadInput(pipe);
+  pipe->input_ended = true;
+  relay->Forward(pipe);
 }
 
-void Relay::LookAtHead(Flow* flow, const std::string& bytes) {
-  if (!flow->request.empty())
+void Relay::ParseHead(Flow* flow, const std::string& bytes) {
+  if (!flow->attempt.request.empty())
     return;
   flow->head += bytes;
   const std::string name = "\r\nReq-Id: ";
@@ -140,91 +148,99 @@
   const std::size_t end = at == std::string::npos ? at : flow->head.find("\r\n", at + name.size());
   if (end == std::string::npos)
     return;
-  flow->request = flow->head.substr(at + name.size(), end - at - name.size());
-  // Read late, where the link was cut: the dispatcher may be done with it already.
-  if (PeerIsDone(bufferevent_getfd(flow->dispatcher.get())))
+  flow->attempt.request = flow->head.substr(at + name.size(), end - at - name.size());
+  // Where the link was cut the head is read late: the dispatcher may have ended the attempt already.
+  if (PeerHasClosed(bufferevent_getfd(flow->dispatcher.get())))
     return;
-  flow->attempt = ++*attempts_;
-  flow->open = true;
-  watcher_.began(flow->request, flow->attempt, flow->was_cut ? flow->opened : SteadyNow());
+  flow->attempt.number = ++*attempt_counter_;
+  flow->attempt.earliest_start = flow->was_cut ? flow->opened : SteadyNow();
+  flow->attempt_open = true;
+  observer_.attempt_started(flow->attempt);
 }
 
-void Relay::Done(Flow* flow) {
-  if (std::exchange(flow->open, false))
-    watcher_.ended(flow->request, flow->attempt);
+void Relay::EndAttempt(Flow* flow) {
+  if (std::exchange(flow->attempt_open, false))
+    observer_.attempt_ended(flow->attempt);
 }
 
-void Relay::NoteClosed() {
+void Relay::DetectClosed() {
   for (Flow& flow : flows_) {
-    if (flow.open && PeerIsDone(bufferevent_getfd(flow.dispatcher.get())))
-      Done(&flow);
+    if (flow.attempt_open && PeerHasClosed(bufferevent_getfd(flow.dispatcher.get())))
+      EndAttempt(&flow);
   }
 }
 
-bool Relay::HasOpen() const {
-  return std::ranges::any_of(flows_, [](const Flow& flow) { return flow.open; });
+bool Relay::HasOpenAttempt() const {
+  return std::ranges::any_of(flows_, [](const Flow& flow) { return flow.attempt_open; });
 }
 
-void Relay::End(Flow* flow) {
-  if (std::exchange(flow->dead, true))
+void Relay::Close(Flow* flow) {
+  if (std::exchange(flow->closed, true))
     return;
-  Done(flow);
+  EndAttempt(flow);
   bufferevent_disable(flow->dispatcher.get(), EV_READ | EV_WRITE);
   bufferevent_disable(flow->worker.get(), EV_READ | EV_WRITE);
   sweep_->Set(0);
 }
 
 void Relay::Reset() {
+  const linger at_once{1, 0};
   for (Flow& flow : flows_) {
-    if (flow.dead)
+    if (flow.closed)
       continue;
-    const linger at_once{1, 0};
     for (bufferevent* side : {flow.dispatcher.get(), flow.worker.get()})
       setsockopt(bufferevent_getfd(side), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
-    End(&flow);
+    Close(&flow);
   }
 }
 
-void Relay::CutThere(bool cut) {
-  cut_there_ = cut;
-  Resume();
+void Relay::CutToWorker(bool cut) {
+  cut_to_worker_ = cut;
+  ApplyCuts();
 }
-void Relay::CutBack(bool cut) {
-  cut_back_ = cut;
-  Resume();
+
+void Relay::CutFromWorker(bool cut) {
+  cut_from_worker_ = cut;
+  ApplyCuts();
 }
+
 void Relay::Delay(Micros delay) { delay_ = delay; }
-void Relay::Trickle(int bytes) { trickle_ = bytes; }
 
-void Relay::Late(bool late) {
+void Relay::LimitRate(int bytes_per_milli) { bytes_per_milli_ = bytes_per_milli; }
+
+void Relay::DelayConnects(bool delayed) {
   const int fd = evconnlistener_get_fd(listener_.get());
-  if (!late) {
-    filler_.reset();
+  if (!delayed) {
+    queue_filler_.reset();
     evconnlistener_enable(listener_.get());
     listen(fd, SOMAXCONN);
     return;
   }
   evconnlistener_disable(listener_.get());
   listen(fd, 0);
-  filler_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
+  queue_filler_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
   const sockaddr_in self = Loopback(port_);
-  bufferevent_socket_connect(filler_.get(), reinterpret_cast<const sockaddr*>(&self), sizeof(self));
+  bufferevent_socket_connect(queue_filler_.get(), reinterpret_cast<const sockaddr*>(&self), sizeof(self));
+}
+
+bool Relay::IsCut(const Pipe& pipe) const {
+  return &pipe == &pipe.flow->to_worker ? cut_to_worker_ : cut_from_worker_;
 }
 
-void Relay::Resume() {
+// A cut direction is not even read: the bytes, and the end of the stream, wait in the sender's kernel.
+void Relay::ApplyCuts() {
   for (Flow& flow : flows_) {
-    flow.was_cut |= cut_there_;
-    for (Pipe* pipe : {&flow.there, &flow.back}) {
-      if (flow.dead)
+    flow.was_cut |= cut_to_worker_;
+    for (Pipe* pipe : {&flow.to_worker, &flow.from_worker}) {
+      if (flow.closed)
         break;
-      // Cut, it does not even read: what was sent waits in the sender's kernel, and so does its end.
       if (IsCut(*pipe)) {
         bufferevent_disable(pipe->from, EV_READ);
         continue;
       }
       bufferevent_enable(pipe->from, EV_READ);
-      Take(pipe);
-      EnqueueBroadcast(pipe);
+      ReadInput(pipe);
+      Forward(pipe);
     }
   }
 }
--- /dev/null
+++ b/tests/fleet/run_context.h
@@ -0,0 +1,22 @@
+// What all parts of one run share. FleetRun owns what it points to and outlives the parts.
+#ifndef ALDERSILL_TESTS_FLEET_RUN_CONTEXT_H_
+#define ALDERSILL_TESTS_FLEET_RUN_CONTEXT_H_
+
+#include "fleet/deployment.h"
+#include "fleet/recorder.h"
+#include "fleet/scheduler.h"
+#include "fleet/timetable.h"
+
+namespace aldersill::fleet {
+
+struct RunContext {
+  event_base* base = nullptr;
+  const Timetable& table;
+  const Deployment& deployment;
+  Recorder& recorder;
+  Scheduler& scheduler;
+};
+
+}  // namespace aldersill::fleet
+
+#endif  // ALDERSILL_TESTS_FLEET_RUN_CONTEXT_H_
--- /dev/null
+++ b/tests/fleet/service_clients.cpp
@@ -0,0 +1,228 @@
+#include "fleet/service_clients.h"
+
+#include <sys/socket.h>
+
+#include <utility>
+
+namespace aldersill::fleet {
+namespace {
+
+using Kind = Observation::Kind;
+
+constexpr std::uint64_t kRandomStream = 2;
+constexpr int kClientTimeoutSeconds = 60;
+constexpr int kMinDeadlineMs = 400, kMaxDeadlineMs = 3'000;
+constexpr std::uint32_t kOneLeavesOf = 12;
+constexpr Micros kAnswerSlack = 58 * kMillisecond;
+constexpr std::size_t kFloodBytes = 256 * 1024;
+constexpr int kIdleMs = 200;  // for which connections are idle before SIGTERM
+constexpr int kTurnsBeforeTerm = 10;
+constexpr int kCostPerMeanMs = 500;  // of the sum of the shortest and the longest time
+
+}  // namespace
+
+ServiceClients::ServiceClients(const RunContext& context, Dispatchers* dispatchers)
+    : context_(context), dispatchers_(dispatchers), random_(context.table.seed, kRandomStream) {}
+
+void ServiceClients::SendRequest(int number) {
+  const auto& classes = context_.deployment.classes;
+  const auto& tenants = context_.deployment.tenants;
+  // All numbers are drawn in any case, so that a fault does not change the draws for later requests.
+  const JobClass& job_class = classes[random_(static_cast<std::uint32_t>(classes.size()))];
+  const std::string& tenant = tenants[random_(static_cast<std::uint32_t>(tenants.size()))];
+  const int deadline_ms = kMinDeadlineMs + static_cast<int>(random_(kMaxDeadlineMs - kMinDeadlineMs));
+  const bool leaves = random_(kOneLeavesOf) == 0;
+  const int leaves_after_ms = static_cast<int>(random_(static_cast<std::uint32_t>(deadline_ms)));
+  const std::uint32_t dispatcher_draw = random_();
+  std::vector<int> up;
+  for (int dispatcher = 0; dispatcher < context_.table.dispatchers; ++dispatcher) {
+    if (dispatchers_->IsUp(dispatcher))
+      up.push_back(dispatcher);
+  }
+  if (up.empty())
+    return;
+  Client* client = AddClient(job_class, tenant, deadline_ms, number, up[dispatcher_draw % up.size()]);
+  if (leaves)
+    context_.scheduler.RunIn(leaves_after_ms, [this, client] { Leave(client, Departure{}); });
+  SendAndWait(client);
+}
+
+ServiceClients::Client* ServiceClients::AddClient(const JobClass& job_class, const std::string& tenant,
+                                                  int deadline_ms, int number, int dispatcher) {
+  Client* client = clients_.emplace_back(std::make_unique<Client>()).get();
+  client->owner = this;
+  client->id = job_class.name + "-" + std::to_string(number);
+  client->job_class = &job_class;
+  client->tenant = tenant;
+  client->deadline_ms = deadline_ms;
+  Connect(client, dispatcher);
+  return client;
+}
+
+void ServiceClients::Connect(Client* client, int dispatcher) {
+  client->dispatcher = dispatcher;
+  // The previous connection may be in its callback still, and must outlive it.
+  client->previous_connection = std::move(client->connection);
+  client->connection.reset(
+      evhttp_connection_base_new(context_.base, nullptr, "127.0.0.1", dispatchers_->http_port(dispatcher)));
+  evhttp_connection_set_retries(client->connection.get(), 0);
+  evhttp_connection_set_timeout(client->connection.get(), kClientTimeoutSeconds);
+}
+
+void ServiceClients::SendAndWait(Client* client) {
+  ++waiting_;
+  Send(client);
+}
+
+void ServiceClients::Send(Client* client) {
+  evhttp_request* request = MakeRequest(client);
+  Micros deadline = context_.recorder.clock().Now();
+  deadline += client->deadline_ms * kMillisecond + kAnswerSlack;
+  context_.recorder.Record({.kind = Kind::kRequestSent,
+                            .request = client->id,
+                            .job_class = client->job_class->name,
+                            .dispatcher = client->dispatcher,
+                            .deadline = deadline});
+  const std::string path = "/" + client->job_class->name;
+  if (evhttp_make_request(client->connection.get(), request, EVHTTP_REQ_POST, path.c_str()) != 0)
+    ConnectionLost(client);
+}
+
+evhttp_request* ServiceClients::MakeRequest(Client* client) const {
+  const JobClass& job_class = *client->job_class;
+  evhttp_request* request = evhttp_request_new(&ServiceClients::OnAnswer, client);
+  auto* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Host", "origin.svc");
+  evhttp_add_header(headers, "Req-Id", client->id.c_str());
+  evhttp_add_header(headers, "Req-Kind", job_class.name.c_str());
+  evhttp_add_header(headers, "Req-Owner", client->tenant.c_str());
+  evhttp_add_header(headers, "Req-Deadline", (std::to_string(client->deadline_ms) + "m").c_str());
+  if (job_class.has_idempotency_key)
+    evhttp_add_header(headers, "Idempotency-Key", client->id.c_str());
+  if (context_.deployment.clients_report_cost) {
+    evhttp_add_header(headers, "Req-Cost",
+                      std::to_string((job_class.min_ms + job_class.max_ms) * kCostPerMeanMs).c_str());
+    evhttp_add_header(headers, "Req-Extra", "slots=1,memory=0.6");
+  }
+  evhttp_add_header(headers, "Connection", "close");
+  return request;
+}
+
+void ServiceClients::SendDuringShutdown(int dispatcher, int count, int for_ms) {
+  std::vector<Client*> clients;
+  for (int index = 0; index < count; ++index)
+    clients.push_back(AddIdleConnection(index, dispatcher));
+  context_.scheduler.RunIn(kIdleMs, [this, dispatcher, clients, for_ms] {
+    if (!dispatchers_->IsUp(dispatcher))
+      return;  // another fault has come first
+    dispatchers_->BeginTermination(dispatcher);
+    context_.scheduler.RunAfterTurns(kTurnsBeforeTerm, [this, dispatcher, clients, for_ms] {
+      TerminateAmongRequests(dispatcher, clients, for_ms);
+    });
+  });
+}
+
+// A client whose connection has carried one answer, to a readiness request.
+ServiceClients::Client* ServiceClients::AddIdleConnection(int index, int dispatcher) {
+  const auto& classes = context_.deployment.classes;
+  const auto& tenants = context_.deployment.tenants;
+  const int number = context_.table.requests + ++shutdown_requests_;
+  Client* client = AddClient(classes[index % classes.size()], tenants[index % tenants.size()], kMaxDeadlineMs,
+                             number, dispatcher);
+  client->reuses_connection = true;
+  evhttp_request* request = evhttp_request_new([](evhttp_request*, void*) {}, nullptr);
+  evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "origin.svc");
+  evhttp_make_request(client->connection.get(), request, EVHTTP_REQ_GET, "/-/ready");
+  return client;
+}
+
+// SIGTERM comes after half of the requests that are sent at once; every fourth is sent later.
+void ServiceClients::TerminateAmongRequests(int dispatcher, const std::vector<Client*>& clients, int for_ms) {
+  const int count = static_cast<int>(clients.size());
+  for (int index = 0; index < count; ++index) {
+    if (index == count / 2)
+      dispatchers_->SendTerminate(dispatcher);
+    Client* client = clients[index];
+    if (index % 4 != 3) {
+      SendAndWait(client);
+    } else {
+      context_.scheduler.RunIn(index * for_ms / count, [this, client] { SendAndWait(client); });
+    }
+  }
+}
+
+// For a request that got no byte of an answer on a connection that had been idle.
+bool ServiceClients::RetryElsewhere(Client* client) {
+  if (!std::exchange(client->reuses_connection, false))
+    return false;
+  const int from = client->dispatcher;
+  context_.recorder.Record({.kind = Kind::kClosedUnanswered, .request = client->id, .dispatcher = from});
+  for (int step = 1; step < context_.table.dispatchers; ++step) {
+    const int dispatcher = (from + step) % context_.table.dispatchers;
+    if (!dispatchers_->IsUp(dispatcher))
+      continue;
+    ++retried_elsewhere_;
+    Connect(client, dispatcher);
+    Send(client);
+    return true;
+  }
+  return false;
+}
+
+void ServiceClients::OnAnswer(evhttp_request* request, void* arg) {
+  auto* client = static_cast<Client*>(arg);
+  if (client->finished)
+    return;
+  const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
+  if (status != 0) {
+    client->owner->Answered(client, request, status);
+  } else if (!client->owner->RetryElsewhere(client)) {
+    client->owner->ConnectionLost(client);
+  }
+}
+
+void ServiceClients::Answered(Client* client, evhttp_request* request, int status) {
+  evbuffer* body = evhttp_request_get_input_buffer(request);
+  std::string text(evbuffer_get_length(body), '\0');
+  evbuffer_copyout(body, text.data(), text.size());
+  client->finished = true;
+  --waiting_;
+  last_end_ = SteadyNow();
+  context_.recorder.Record(
+      {.kind = Kind::kAnswered, .request = client->id, .status = status, .text = std::move(text)});
+}
+
+void ServiceClients::ConnectionLost(Client* client) {
+  if (std::exchange(client->finished, true))
+    return;
+  --waiting_;
+  context_.recorder.Record({.kind = Kind::kConnectionLost, .request = client->id});
+}
+
+void ServiceClients::LeaveAll(int dispatcher, Departure departure) {
+  for (const auto& client : clients_) {
+    if (client->dispatcher == dispatcher)
+      Leave(client.get(), departure);
+  }
+}
+
+void ServiceClients::Leave(Client* client, Departure departure) {
+  if (std::exchange(client->finished, true))
+    return;
+  const int fd = bufferevent_getfd(evhttp_connection_get_bufferevent(client->connection.get()));
+  if (departure.floods_before) {
+    const std::string flood(kFloodBytes, 'x');
+    // As much as the kernel accepts at once.
+    const auto sent = send(fd, flood.data(), flood.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    flooding_ += sent > 0 ? 1 : 0;
+  }
+  const linger at_once{1, 0};
+  if (departure.reset)
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  --waiting_;
+  last_end_ = SteadyNow();
+  context_.recorder.Record({.kind = Kind::kClientLeft, .request = client->id});
+  client->connection.reset();
+}
+
+}  // namespace aldersill::fleet
--- a/tests/fleet/timetable.cpp
+++ b/tests/fleet/timetable.cpp
@@ -1,264 +1,301 @@
 #include "fleet/timetable.h"
 
-#include <yaml-cpp/yaml.h>
-
 #include <algorithm>
 #include <array>
 #include <pcg_random.hpp>
-#include <stdexcept>
 #include <utility>
 
 namespace aldersill::fleet {
 namespace {
 
-constexpr std::array<const char*, 26> kKinds = {"kill",
-                                                "terminate",
-                                                "pause",
-                                                "cut_there",
-                                                "cut_back",
-                                                "delay",
-                                                "trickle",
-                                                "reset",
-                                                "hang",
-                                                "drain",
-                                                "silence",
-                                                "move",
-                                                "down",
-                                                "list_errors",
-                                                "list_losses",
-                                                "list_refused",
-                                                "late",
-                                                "leave",
-                                                "resting_requests",
-                                                "idle_clients",
-                                                "udp_cut",
-                                                "udp_thin",
-                                                "udp_delay",
-                                                "udp_reorder",
-                                                "udp_double",
-                                                "udp_stray"};
-constexpr std::array<const char*, 4> kCrossings = {"none", "leaving", "cold", "idle"};
+// The jobs have streams of their own: a fault more or less does not change them.
+constexpr std::uint64_t kRandomStream = 1;
+constexpr int kIgnoredCallsLengthMs = 9'000;
+constexpr int kDiscoveryFailuresLengthMs = 10'000;
+constexpr int kRestartsLengthMs = 12'500;
+constexpr int kSlowStartLengthMs = 5'000;
+// Connections come up late for this time; clients leave before the first of them can come up.
+constexpr int kDelayedConnectsMs = 600, kLeaveAfterMs = 350;
 
-bool OfDatagrams(FaultKind kind) { return kind >= FaultKind::kUdpCut; }
+// A seed's random numbers. The order of the draws decides on the timetable: it must not change.
+class Draws {
+ public:
+  explicit Draws(std::uint64_t seed) : random_(seed, kRandomStream) {}
+  int Between(int from, int to) { return from + static_cast<int>(random_(to - from + 1)); }
+  FaultKind KindBetween(FaultKind first, FaultKind last) {
+    return static_cast<FaultKind>(Between(static_cast<int>(first), static_cast<int>(last)));
+  }
 
-constexpr int kSilentLength = 9'000;
-constexpr int kFailingLength = 10'000;
-constexpr int kRestartLength = 12'500;
-// Of connections that come up late: before a client leaves, and before the first of them can come up.
-constexpr int kLeaveAfterMs = 350, kLateMs = 600;
+ private:
+  pcg32 random_;
+};
 
-int Between(pcg32* random, int from, int to) { return from + static_cast<int>((*random)(to - from + 1)); }
+struct Range {
+  int from = 0, to = 0;
+};
 
-int Number(const YAML::Node& node, const char* field, int least, int most) {
-  const YAML::Node value = node[field];
-  const std::string line = "line " + std::to_string(node.Mark().line + 1) + ": " + field;
-  if (!value)
-    throw std::runtime_error(line + " is missing");
-  int number = 0;
-  if (!YAML::convert<int>::decode(value, number) || number < least || number > most)
-    throw std::runtime_error(line + " must be a whole number from " + std::to_string(least) + " to " +
-                             std::to_string(most));
-  return number;
-}
+// Draws one timetable.
+class TimetableBuilder {
+ public:
+  TimetableBuilder(std::uint64_t seed, const std::string& deployment, int dispatchers, int workers)
+      : draws_(seed) {
+    table_.seed = seed;
+    table_.deployment = deployment;
+    table_.members = seed % 3 == 0;
+    table_.dispatchers = dispatchers;
+    table_.workers = workers;
+  }
+
+  Timetable Build() {
+    if (table_.seed % 5 == 0)
+      AddIgnoredCalls();
+    AddDrawnFault(FaultKind::kDrain, {200, 1'200}, {1'500, 3'000});
+    AddDrawnFault(FaultKind::kHang, {200, 2'000}, {200, 800});
+    AddAnyFaults();
+    if (table_.members)
+      AddMemberFaults();
+    // Drawn last, so that the other faults are the same as without.
+    AddFaultsOfLastDigit();
+    std::ranges::stable_sort(table_.faults, {}, &Fault::at_ms);
+    return std::move(table_);
+  }
 
-// What the seed's last digit adds. Drawn last, so that the other faults are the same as without.
-void AddCrossing(pcg32* random, Timetable* table) {
-  const auto add = [table](FaultKind kind, int at_ms, int dispatcher, int worker, int for_ms,
-                           int amount = 0) {
-    table->faults.push_back({at_ms, kind, dispatcher % table->dispatchers, worker, for_ms, amount});
-  };
-  const int first = Between(random, 0, table->dispatchers - 1);
-  const int worker = Between(random, 0, table->workers - 1);
-  switch (table->seed % 10) {
-    case 1:
-    case 4:
-      table->crossing = Crossing::kLeaving;
-      table->requests = 400;
-      for (int i = 0; i < 8; ++i) {
-        const int at_ms = Between(random, 300, 1'800);
-        add(FaultKind::kLate, at_ms, first + i, -1, kLateMs);
-        add(FaultKind::kLeave, at_ms + kLeaveAfterMs, first + i, -1, 0, 3 - i % 4);
-      }
-      break;
-    case 2:
-    case 8: {
-      const int at_ms = Between(random, 800, 1'500);
-      for (int i = 0; i < 2; ++i)
-        add(FaultKind::kHang, at_ms - 100, 0, (worker + i) % table->workers, 800);
-      for (int i = 0; i < 3; ++i)
-        add(FaultKind::kTerminate, at_ms + 50 * i, first + i, -1, 0);
-      add(FaultKind::kRestingRequests, at_ms, first + 3, -1, 40, 40);
-      break;
+ private:
+  void AddIgnoredCalls() {
+    table_.length_ms = kIgnoredCallsLengthMs;
+    AddDrawnFault(FaultKind::kIgnoredDiscoveryCalls, {800, 1'200}, {0, 0});
+    AddDrawnFault(FaultKind::kDrain, {1'200, 1'500}, {kIgnoredCallsLengthMs, kIgnoredCallsLengthMs});
+  }
+
+  Fault& AddDrawnFault(FaultKind kind, Range at_ms, Range for_ms) {
+    Fault fault;
+    fault.kind = kind;
+    fault.at_ms = draws_.Between(at_ms.from, at_ms.to);
+    fault.dispatcher = draws_.Between(0, table_.dispatchers - 1);
+    fault.worker = draws_.Between(0, table_.workers - 1);
+    fault.for_ms = draws_.Between(for_ms.from, for_ms.to);
+    return table_.faults.emplace_back(fault);
+  }
+
+  void AddAnyFaults() {
+    for (int left = draws_.Between(6, 14); left > 0; --left) {
+      Fault fault;
+      fault.kind = draws_.KindBetween(FaultKind::kKill, FaultKind::kDiscoveryOutage);
+      fault.at_ms = draws_.Between(100, table_.length_ms - 300);
+      fault.dispatcher = draws_.Between(0, table_.dispatchers - 1);
+      const bool of_worker = fault.kind == FaultKind::kHang || fault.kind == FaultKind::kDrain;
+      const bool of_all_links = !of_worker && draws_.Between(0, 2) == 0;
+      fault.worker = of_all_links ? kAllWorkers : draws_.Between(0, table_.workers - 1);
+      fault.for_ms = draws_.Between(50, 1'500);
+      fault.amount = fault.kind == FaultKind::kRateLimit ? draws_.Between(4, 64) : draws_.Between(5, 400);
+      table_.faults.push_back(fault);
     }
-    case 5: {
-      if (table->deployment == "consortium")
-        break;  // an agent's calls do not fail
-      table->length_ms = kFailingLength;
-      table->requests = 900;
-      const int drains_ms = Between(random, 700, 900);
-      constexpr FaultKind kTroubles[] = {FaultKind::kListErrors, FaultKind::kListLosses,
-                                         FaultKind::kListErrors, FaultKind::kListRefused,
-                                         FaultKind::kListErrors, FaultKind::kListLosses};
-      for (int i = 0; i < 6; ++i) {
-        const bool refused = kTroubles[i] == FaultKind::kListRefused;
-        add(kTroubles[i], Between(random, 300, 600), first + i, -1,
-            refused ? Between(random, 600, 1'500) : kFailingLength);
-      }
-      const auto drains = [table](int w) {
-        return std::ranges::any_of(
-            table->faults, [w](const Fault& f) { return f.kind == FaultKind::kDrain && f.worker == w; });
-      };
-      for (int w = worker, left = 2; w < worker + table->workers && left > 0; ++w) {
-        if (drains(w % table->workers))
-          continue;
-        add(FaultKind::kDrain, drains_ms, 0, w % table->workers, 2 * kFailingLength);
-        --left;
-      }
-      break;
+  }
+
+  void AddMemberFaults() {
+    for (int left = draws_.Between(3, 8); left > 0; --left) {
+      const FaultKind kind = draws_.KindBetween(FaultKind::kUdpCut, FaultKind::kUdpRandomDatagrams);
+      Fault& fault = AddDrawnFault(kind, {100, table_.length_ms - 300}, {300, kLongerThanLease});
+      const bool of_all_peers = draws_.Between(0, 1) == 0;
+      fault.worker =
+          of_all_peers ? -1 : (fault.dispatcher + draws_.Between(1, table_.dispatchers)) % table_.dispatchers;
+      fault.amount = draws_.Between(10, 90);
     }
-    case 6: {
-      table->crossing = Crossing::kIdle;
-      const int at_ms = Between(random, 300, 800);
-      add(FaultKind::kDown, at_ms, 0, -1, 1'500);
-      for (int i = 0; i < 6; ++i)
-        add(FaultKind::kIdleClients, at_ms, first + i, -1, 1'500, 60);
-      break;
+    // Pauses the lease holder, or else a voter, for longer than a lease lasts.
+    Fault& pause = AddDrawnFault(FaultKind::kPause, {1'200, 1'800}, {kLongerThanLease, kLongerThanLease});
+    pause.dispatcher %= kVoters;
+  }
+
+  void AddFaultsOfLastDigit() {
+    const int dispatcher = draws_.Between(0, table_.dispatchers - 1);
+    const int worker = draws_.Between(0, table_.workers - 1);
+    switch (table_.seed % 10) {
+      case 1:
+      case 4:
+        return AddLeavingClients(dispatcher);
+      case 2:
+      case 8:
+        return AddShutdownsUnderRequests(dispatcher, worker);
+      case 5:
+        // Calls to the consortium's local agents do not fail.
+        if (table_.deployment != "consortium")
+          AddDiscoveryFailures(dispatcher, worker);
+        return;
+      case 6:
+        return AddIdleClients(dispatcher);
+      case 7:
+        return AddSlowStart(worker);
+      case 9:
+        return AddRestartsDuringOutage(dispatcher);
+      default:
+        return;
     }
-    case 7:
-      table->crossing = Crossing::kCold;
-      table->length_ms = 5'000;
-      table->requests = 200 * table->workers;
-      add(FaultKind::kDrain, 100, 0, worker, 400);
-      break;
-    case 9:
-      table->length_ms = kRestartLength;
-      add(FaultKind::kDown, 500, 0, -1, kRestartLength - 1'000);
-      for (int i = 0; i < 6; ++i)
-        add(i % 2 == 0 ? FaultKind::kKill : FaultKind::kTerminate, Between(random, 600, 1'200), first + 2 * i,
-            -1, Between(random, 0, 300));
-      break;
-    default:
-      break;
   }
-}
 
-}  // namespace
+  // Numbers of dispatchers may exceed the number there are: they count around.
+  void Add(Fault fault) {
+    fault.dispatcher %= table_.dispatchers;
+    table_.faults.push_back(fault);
+  }
+
+  // Clients leave while the connections of their attempts come up late.
+  void AddLeavingClients(int first) {
+    table_.variant = SettingsVariant::kLongDialTimeout;
+    table_.requests = 400;
+    for (int index = 0; index < 8; ++index) {
+      const int at_ms = draws_.Between(300, 1'800);
+      Add({.at_ms = at_ms,
+           .kind = FaultKind::kDelayedConnects,
+           .dispatcher = first + index,
+           .worker = kAllWorkers,
+           .for_ms = kDelayedConnectsMs});
+      Add({.at_ms = at_ms + kLeaveAfterMs,
+           .kind = FaultKind::kClientsLeave,
+           .dispatcher = first + index,
+           .worker = kAllWorkers,
+           .amount = 3 - index % 4});
+    }
+  }
 
-Timetable Draw(std::uint64_t seed, const std::string& deployment, int dispatchers, int workers) {
-  Timetable table;
-  table.seed = seed;
-  table.deployment = deployment;
-  table.members = seed % 3 == 0;
-  table.dispatchers = dispatchers;
-  table.workers = workers;
-  // A stream apart from the jobs': a fault more or less does not reshuffle them.
-  pcg32 random(seed, 1);
-  const auto worker_fault = [&](FaultKind kind, int from_ms, int to_ms, int least_ms, int most_ms) {
-    Fault f;
-    f.kind = kind;
-    f.at_ms = Between(&random, from_ms, to_ms);
-    f.dispatcher = Between(&random, 0, dispatchers - 1);
-    f.worker = Between(&random, 0, workers - 1);
-    f.for_ms = Between(&random, least_ms, most_ms);
-    table.faults.push_back(f);
-  };
-  if (seed % 5 == 0) {
-    table.length_ms = kSilentLength;
-    worker_fault(FaultKind::kSilence, 800, 1'200, 0, 0);
-    worker_fault(FaultKind::kDrain, 1'200, 1'500, kSilentLength, kSilentLength);
+  // Dispatchers get SIGTERM while workers hang, one of them while requests arrive on idle connections.
+  void AddShutdownsUnderRequests(int first, int worker) {
+    const int at_ms = draws_.Between(800, 1'500);
+    for (int index = 0; index < 2; ++index)
+      Add({.at_ms = at_ms - 100,
+           .kind = FaultKind::kHang,
+           .worker = (worker + index) % table_.workers,
+           .for_ms = 800});
+    for (int index = 0; index < 3; ++index)
+      Add({.at_ms = at_ms + 50 * index,
+           .kind = FaultKind::kTerminate,
+           .dispatcher = first + index,
+           .worker = kAllWorkers});
+    Add({.at_ms = at_ms,
+         .kind = FaultKind::kRequestsDuringShutdown,
+         .dispatcher = first + 3,
+         .worker = kAllWorkers,
+         .for_ms = 40,
+         .amount = 40});
   }
-  worker_fault(FaultKind::kDrain, 200, 1'200, 1'500, 3'000);
-  worker_fault(FaultKind::kHang, 200, 2'000, 200, 800);
-  for (int i = Between(&random, 6, 14); i > 0; --i) {
-    Fault f;
-    f.kind = static_cast<FaultKind>(Between(&random, 0, static_cast<int>(FaultKind::kDown)));
-    f.at_ms = Between(&random, 100, table.length_ms - 300);
-    f.dispatcher = Between(&random, 0, dispatchers - 1);
-    const bool of_worker = f.kind == FaultKind::kHang || f.kind == FaultKind::kDrain;
-    f.worker = !of_worker && Between(&random, 0, 2) == 0 ? -1 : Between(&random, 0, workers - 1);
-    f.for_ms = Between(&random, 50, 1'500);
-    f.amount = f.kind == FaultKind::kTrickle ? Between(&random, 4, 64) : Between(&random, 5, 400);
-    table.faults.push_back(f);
+
+  // Calls to discovery fail for six dispatchers, and two workers drain right after.
+  void AddDiscoveryFailures(int first, int worker) {
+    table_.length_ms = kDiscoveryFailuresLengthMs;
+    table_.requests = 900;
+    const int drains_at_ms = draws_.Between(700, 900);
+    constexpr std::array kKinds = {FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses,
+                                   FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryRefused,
+                                   FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses};
+    int dispatcher = first;
+    for (const FaultKind kind : kKinds) {
+      Fault fault = {.kind = kind, .dispatcher = dispatcher++, .worker = kAllWorkers};
+      DrawDiscoveryFailureTimes(&fault);
+      Add(fault);
+    }
+    AddDrainsOfOthers(worker, drains_at_ms);
+  }
+
+  void DrawDiscoveryFailureTimes(Fault* fault) {
+    const bool refused = fault->kind == FaultKind::kDiscoveryRefused;
+    fault->for_ms = refused ? draws_.Between(600, 1'500) : kDiscoveryFailuresLengthMs;
+    fault->at_ms = draws_.Between(300, 600);
   }
-  if (table.members) {
-    for (int i = Between(&random, 3, 8); i > 0; --i) {
-      const auto kind = static_cast<FaultKind>(
-          Between(&random, static_cast<int>(FaultKind::kUdpCut), static_cast<int>(FaultKind::kUdpStray)));
-      worker_fault(kind, 100, table.length_ms - 300, 300, kLongerThanLease);
-      Fault& f = table.faults.back();
-      f.worker =
-          Between(&random, 0, 1) == 0 ? -1 : (f.dispatcher + Between(&random, 1, dispatchers)) % dispatchers;
-      f.amount = Between(&random, 10, 90);
+
+  // Of two workers, from `first` on, that no other fault drains.
+  void AddDrainsOfOthers(int first, int at_ms) {
+    int left = 2;
+    for (int worker = first; worker < first + table_.workers && left > 0; ++worker) {
+      if (IsDrained(worker % table_.workers))
+        continue;
+      Add({.at_ms = at_ms,
+           .kind = FaultKind::kDrain,
+           .worker = worker % table_.workers,
+           .for_ms = 2 * kDiscoveryFailuresLengthMs});
+      --left;
     }
-    // The holder, or else a voter, stands still for longer than it can hold a duty.
-    worker_fault(FaultKind::kPause, 1'200, 1'800, kLongerThanLease, kLongerThanLease);
-    table.faults.back().dispatcher %= kVoters;
   }
-  AddCrossing(&random, &table);
-  std::ranges::stable_sort(table.faults, {}, &Fault::at_ms);
-  return table;
-}
 
-std::string ToYaml(const Timetable& t) {
-  YAML::Emitter out;
-  out << YAML::BeginMap << YAML::Key << "seed" << YAML::Value << t.seed << YAML::Key << "deployment"
-      << YAML::Value << t.deployment << YAML::Key << "crossing" << YAML::Value
-      << kCrossings[static_cast<std::size_t>(t.crossing)] << YAML::Key << "members" << YAML::Value
-      << t.members << YAML::Key << "dispatchers" << YAML::Value << t.dispatchers << YAML::Key << "workers"
-      << YAML::Value << t.workers << YAML::Key << "requests" << YAML::Value << t.requests << YAML::Key
-      << "length_ms" << YAML::Value << t.length_ms << YAML::Key << "faults" << YAML::Value << YAML::BeginSeq;
-  for (const Fault& f : t.faults) {
-    out << YAML::Flow << YAML::BeginMap << YAML::Key << "at_ms" << YAML::Value << f.at_ms << YAML::Key
-        << "kind" << YAML::Value << kKinds[static_cast<std::size_t>(f.kind)] << YAML::Key << "dispatcher"
-        << YAML::Value << f.dispatcher << YAML::Key << (OfDatagrams(f.kind) ? "peer" : "worker")
-        << YAML::Value << f.worker << YAML::Key << "for_ms" << YAML::Value << f.for_ms << YAML::Key
-        << "amount" << YAML::Value << f.amount << YAML::EndMap;
+  bool IsDrained(int worker) const {
+    return std::ranges::any_of(table_.faults, [worker](const Fault& fault) {
+      return fault.kind == FaultKind::kDrain && fault.worker == worker;
+    });
+  }
+
+  // Idle clients take sockets at six dispatchers while discovery is down.
+  void AddIdleClients(int first) {
+    table_.variant = SettingsVariant::kFewSockets;
+    const int at_ms = draws_.Between(300, 800);
+    Add({.at_ms = at_ms, .kind = FaultKind::kDiscoveryOutage, .worker = kAllWorkers, .for_ms = 1'500});
+    for (int index = 0; index < 6; ++index)
+      Add({.at_ms = at_ms,
+           .kind = FaultKind::kIdleClients,
+           .dispatcher = first + index,
+           .worker = kAllWorkers,
+           .for_ms = 1'500,
+           .amount = 60});
+  }
+
+  // A worker starts again under load.
+  void AddSlowStart(int worker) {
+    table_.variant = SettingsVariant::kLongSlowStart;
+    table_.length_ms = kSlowStartLengthMs;
+    table_.requests = 200 * table_.workers;
+    Add({.at_ms = 100, .kind = FaultKind::kDrain, .worker = worker, .for_ms = 400});
   }
-  out << YAML::EndSeq << YAML::EndMap;
-  return std::string(out.c_str()) + "\n";
-}
 
-Timetable FromYaml(const std::string& text) {
-  try {
-    const YAML::Node root = YAML::Load(text);
-    if (!root.IsMap())
-      throw std::runtime_error("a timetable must be a map");
-    Timetable t;
-    if (!root["seed"] || !YAML::convert<std::uint64_t>::decode(root["seed"], t.seed))
-      throw std::runtime_error("seed must be a whole number");
-    t.deployment = root["deployment"] ? root["deployment"].as<std::string>() : "first";
-    const std::string crossing = root["crossing"] ? root["crossing"].as<std::string>() : kCrossings[0];
-    const auto meant = std::ranges::find(kCrossings, crossing);
-    if (meant == kCrossings.end())
-      throw std::runtime_error("crossing '" + crossing + "' is unknown");
-    t.crossing = static_cast<Crossing>(meant - kCrossings.begin());
-    t.members = root["members"] && root["members"].as<bool>();
-    t.dispatchers = Number(root, "dispatchers", 1, 100);
-    t.workers = Number(root, "workers", 1, 100);
-    t.requests = Number(root, "requests", 1, 100'000);
-    t.length_ms = Number(root, "length_ms", 1, 3'600'000);
-    for (const YAML::Node& node : root["faults"]) {
-      Fault f;
-      const std::string kind = node["kind"] ? node["kind"].as<std::string>() : "";
-      const auto found = std::ranges::find(kKinds, kind);
-      if (found == kKinds.end())
-        throw std::runtime_error("line " + std::to_string(node.Mark().line + 1) + ": kind '" + kind +
-                                 "' is unknown");
-      f.kind = static_cast<FaultKind>(found - kKinds.begin());
-      f.at_ms = Number(node, "at_ms", 0, t.length_ms);
-      f.dispatcher = Number(node, "dispatcher", 0, t.dispatchers - 1);
-      const bool of_worker = f.kind == FaultKind::kHang || f.kind == FaultKind::kDrain;
-      f.worker = OfDatagrams(f.kind) ? Number(node, "peer", -1, t.dispatchers - 1)
-                                     : Number(node, "worker", of_worker ? 0 : -1, t.workers - 1);
-      f.for_ms = Number(node, "for_ms", 0, 60'000);
-      f.amount = Number(node, "amount", 0, 60'000);
-      t.faults.push_back(f);
+  // Dispatchers are restarted during an outage of discovery.
+  void AddRestartsDuringOutage(int first) {
+    table_.length_ms = kRestartsLengthMs;
+    Add({.at_ms = 500,
+         .kind = FaultKind::kDiscoveryOutage,
+         .worker = kAllWorkers,
+         .for_ms = kRestartsLengthMs - 1'000});
+    for (int index = 0; index < 6; ++index) {
+      Fault fault = {.kind = index % 2 == 0 ? FaultKind::kKill : FaultKind::kTerminate,
+                     .dispatcher = first + 2 * index,
+                     .worker = kAllWorkers};
+      fault.for_ms = draws_.Between(0, 300);
+      fault.at_ms = draws_.Between(600, 1'200);
+      Add(fault);
     }
-    std::ranges::stable_sort(t.faults, {}, &Fault::at_ms);
-    return t;
-  } catch (const YAML::Exception& e) {
-    throw std::runtime_error(e.what());
   }
+
+  Draws draws_;
+  Timetable table_;
+};
+
+}  // namespace
+
+FaultGroup GroupOf(FaultKind kind) {
+  switch (kind) {
+    case FaultKind::kKill:
+    case FaultKind::kTerminate:
+    case FaultKind::kPause:
+    case FaultKind::kHang:
+      return FaultGroup::kProcess;
+    case FaultKind::kCutToWorker:
+    case FaultKind::kCutFromWorker:
+    case FaultKind::kDelay:
+    case FaultKind::kRateLimit:
+    case FaultKind::kReset:
+    case FaultKind::kDelayedConnects:
+      return FaultGroup::kLink;
+    case FaultKind::kClientsLeave:
+    case FaultKind::kRequestsDuringShutdown:
+    case FaultKind::kIdleClients:
+      return FaultGroup::kClient;
+    default:
+      return kind >= FaultKind::kUdpCut ? FaultGroup::kDatagram : FaultGroup::kDiscovery;
+  }
+}
+
+bool NeedsRunningProcess(FaultKind kind) {
+  return kind == FaultKind::kKill || kind == FaultKind::kTerminate || kind == FaultKind::kPause ||
+         kind == FaultKind::kDiscoveryMove || kind == FaultKind::kRequestsDuringShutdown;
+}
+
+Timetable DrawTimetable(std::uint64_t seed, const std::string& deployment, int dispatchers, int workers) {
+  return TimetableBuilder(seed, deployment, dispatchers, workers).Build();
 }
 
 }  // namespace aldersill::fleet
