--- a/tools/faktory_standin.cpp
+++ b/tools/faktory_standin.cpp
@@ -1,4 +1,4 @@
-// faktory_standin: one client's job, or a worker of one slot, against a running daemon.
+// faktory_standin: pushes one client's job to a running daemon, or is a worker of one slot.
 //   faktory_standin push PORT JOBTYPE JID [TENANT [DEADLINE_MS]]
 //   faktory_standin work PORT WID JOBS [MS_EACH]
 #include <chrono>
--- a/tools/player.cpp
+++ b/tools/player.cpp
@@ -1,54 +1,17 @@
 #include "player.h"
 
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
-#include <algorithm>
+#include <cerrno>
 #include <cstring>
-#include <sstream>
-#include <stdexcept>
+#include <exception>
 #include <utility>
 
 namespace aldersill::tools {
 namespace {
 
-[[noreturn]] void Throw(const std::string& what) {
-  throw std::runtime_error(what + ": " + std::strerror(errno));
-}
-
-// Where `{*}` in the pattern stands for anything within one line; npos if it doesn't match at the start of
-// `text`, else how much of the text it takes.
-std::size_t Match(const std::string& pattern, const std::string& text, bool* needs_more) {
-  std::size_t at = 0;
-  std::size_t p = 0;
-  *needs_more = false;
-  while (p < pattern.size()) {
-    if (pattern.compare(p, 3, "{*}") != 0) {
-      if (at == text.size()) {
-        *needs_more = true;
-        return std::string::npos;
-      }
-      if (pattern[p++] != text[at++])
-        return std::string::npos;
-      continue;
-    }
-    p += 3;
-    const std::size_t next = pattern.find("{*}", p);
-    const std::string until = pattern.substr(p, std::min(next, pattern.find('\n', p) + 1) - p);
-    const std::size_t line_end = text.find('\n', at);
-    const std::size_t found = text.find(until, at);
-    if (found == std::string::npos || found > line_end) {
-      *needs_more = line_end == std::string::npos;
-      return std::string::npos;
-    }
-    at = found;
-  }
-  return at;
-}
-
+// The text's lines as a report shows them.
 std::string Quote(const std::string& text) {
   std::string lines = "    | ";
   for (const char c : text) {
@@ -59,58 +22,15 @@
   return lines + "\n";
 }
 
-}  // namespace
-
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(port);
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  return address;
+void ReplaceAll(std::string* text, const std::string& name, const std::string& value) {
+  const std::string placeholder = "{" + name + "}";
+  for (std::size_t at; (at = text->find(placeholder)) != std::string::npos;)
+    text->replace(at, placeholder.size(), value);
 }
 
-Socket& Socket::operator=(Socket&& other) noexcept {
-  if (this != &other) {
-    Close();
-    fd_ = other.Release();
-  }
-  return *this;
-}
-void Socket::Close() {
-  if (fd_ >= 0)
-    close(std::exchange(fd_, -1));
-}
-int Socket::Release() { return std::exchange(fd_, -1); }
+std::string Address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-Socket ListenOn(std::uint16_t port) {
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const int on = 1;
-  setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-  const sockaddr_in address = Loopback(port);
-  if (bind(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0)
-    Throw("bind");
-  if (listen(s.fd(), 64) != 0)
-    Throw("listen");
-  return s;
-}
-
-Socket ConnectTo(std::uint16_t port) {
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in address = Loopback(port);
-  if (connect(s.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0)
-    Throw("connect");
-  const int on = 1;
-  setsockopt(s.fd(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  return s;
-}
-
-std::uint16_t PortOf(const Socket& s) {
-  sockaddr_in address{};
-  socklen_t size = sizeof(address);
-  if (getsockname(s.fd(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
-    Throw("getsockname");
-  return ntohs(address.sin_port);
-}
+}  // namespace
 
 std::uint16_t Player::Listen(const std::string& name, std::uint16_t port) {
   Socket listener = ListenOn(port);
@@ -119,172 +39,157 @@
   return bound;
 }
 
-std::vector<Player::Step> Player::Parse(const std::string& text) {
-  std::vector<Step> steps;
-  std::istringstream lines(text);
-  int number = 0;
-  for (std::string line; std::getline(lines, line);) {
-    ++number;
-    if (line.starts_with("|")) {
-      if (steps.empty())
-        throw std::runtime_error("line " + std::to_string(number) + ": a block without a step");
-      const bool whole = !line.starts_with("|-");  // `|-` ends without an end of line
-      const std::size_t begin = whole ? 1 : 2;
-      std::string part = line.substr(line.size() > begin && line[begin] == ' ' ? begin + 1 : begin);
-      // `\n` writes a bare line feed: the platform's JSON lines end so, HTTP's and RESP's with CR LF.
-      for (std::size_t at; (at = part.find("\\n")) != std::string::npos;)
-        part.replace(at, 2, 1, '\n');
-      steps.back().block += part + (whole ? "\r\n" : "");
-      continue;
-    }
-    Step step{number, {}, ""};
-    std::istringstream words(line.substr(0, line.find('#')));
-    for (std::string word; words >> word;)
-      step.words.push_back(word);
-    if (!step.words.empty())
-      steps.push_back(std::move(step));
-  }
-  return steps;
-}
-
 std::string Player::Play(const std::string& text) {
-  std::vector<Step> steps;
+  std::vector<ExchangeStep> steps;
   try {
-    steps = Parse(text);
-  } catch (const std::exception& e) {
-    return e.what();
+    steps = ParseExchange(text);
+  } catch (const std::exception& error) {
+    return error.what();
   }
-  for (const Step& step : steps) {
-    std::string differs;
+  for (const ExchangeStep& step : steps) {
+    std::string difference;
     try {
-      differs = Perform(step);
-    } catch (const std::exception& e) {
-      differs = e.what();
+      difference = Perform(step);
+    } catch (const std::exception& error) {
+      difference = error.what();
     }
-    if (!differs.empty())
-      return "line " + std::to_string(step.line) + ": " + differs;
+    if (!difference.empty())
+      return "line " + std::to_string(step.line) + ": " + difference;
   }
   return "";
 }
 
-// Puts in `{length}` (of what follows the first empty line) and `{NAME}`, a listener's address.
-std::string Player::Fill(const std::string& block) const {
+// Replaces `{NAME}` by the address of the listener of that name, and `{length}` by the length of what follows
+// the first empty line.
+std::string Player::Expand(const std::string& block) const {
   std::string text = block;
-  const auto put = [&text](const std::string& name, const std::string& value) {
-    const std::string slot = std::string("{").append(name).append("}");
-    for (std::size_t at; (at = text.find(slot)) != std::string::npos;)
-      text.replace(at, slot.size(), value);
-  };
   for (const auto& [name, listener] : listeners_)
-    put(name, "127.0.0.1:" + std::to_string(PortOf(listener)));
+    ReplaceAll(&text, name, Address(PortOf(listener)));
   for (const auto& [name, port] : daemon_listeners_)
-    put(name, "127.0.0.1:" + std::to_string(port));
-  const std::size_t empty = text.find("\r\n\r\n");
-  put("length", std::to_string(empty == std::string::npos ? 0 : text.size() - empty - 4));
+    ReplaceAll(&text, name, Address(port));
+  const std::size_t empty_line = text.find("\r\n\r\n");
+  const std::size_t length = empty_line == std::string::npos ? 0 : text.size() - empty_line - 4;
+  ReplaceAll(&text, "length", std::to_string(length));
   return text;
 }
 
-std::string Player::Perform(const Step& step) {
-  const std::vector<std::string>& w = step.words;
-  const std::string& verb = w[0];
+std::string Player::Perform(const ExchangeStep& step) {
+  const std::vector<std::string>& words = step.words;
+  const std::string& verb = words[0];
   if (verb == "config")
-    return "";  // for whoever starts the daemon
-  if (w.size() < 2)
+    return "";  // for the test that starts the daemon
+  if (words.size() < 2)
     return verb + " needs a name";
+  const std::string& name = words[1];
   if (verb == "listen") {
-    if (!listeners_.contains(w[1]))
-      Listen(w[1], w.size() > 2 ? static_cast<std::uint16_t>(std::stoi(w[2])) : 0);
-    return "";
-  }
-  if (verb == "connect") {
-    const auto listener = daemon_listeners_.find(w.size() > 2 ? w[2] : w[1]);
-    if (listener == daemon_listeners_.end())
-      return "no door of that name";
-    peers_[w[1]] = Peer{ConnectTo(listener->second), ""};
-    return "";
-  }
-  if (verb == "accept") {
-    if (w.size() < 3 || !listeners_.contains(w[2]))
-      return "accept NAME LISTENER";
-    pollfd waits{listeners_.at(w[2]).fd(), POLLIN, 0};
-    if (poll(&waits, 1, timeout_ms_) != 1)
-      return "nobody connected to " + w[2];
-    peers_[w[1]] = Peer{Socket(accept4(waits.fd, nullptr, nullptr, SOCK_CLOEXEC)), ""};
+    if (!listeners_.contains(name))
+      Listen(name, words.size() > 2 ? static_cast<std::uint16_t>(std::stoi(words[2])) : 0);
     return "";
   }
+  if (verb == "connect")
+    return Connect(name, words.size() > 2 ? words[2] : name);
+  if (verb == "accept")
+    return words.size() > 2 ? Accept(name, words[2]) : "accept NAME LISTENER";
   if (verb == "stop-listening") {
-    listeners_.erase(w[1]);
+    listeners_.erase(name);
     return "";
   }
-  const auto found = peers_.find(w[1]);
+  return PerformOnPeer(step);
+}
+
+std::string Player::PerformOnPeer(const ExchangeStep& step) {
+  const std::string& verb = step.words[0];
+  const std::string& name = step.words[1];
+  const auto found = peers_.find(name);
   if (found == peers_.end())
-    return "nobody here is called " + w[1];
+    return "no connection is called " + name;
   Peer* peer = &found->second;
-  if (verb == "send") {
-    const std::string text = Fill(step.block);
-    for (std::size_t sent = 0; sent < text.size();) {
-      const ssize_t n = send(peer->socket.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
-      if (n < 0)
-        return std::string("cannot send: ") + std::strerror(errno);
-      sent += static_cast<std::size_t>(n);
-    }
-    return "";
-  }
+  if (verb == "send")
+    return Send(*peer, Expand(step.block));
   if (verb == "expect")
-    return Expect(peer, Fill(step.block));
+    return Expect(peer, Expand(step.block));
   if (verb == "expect-end")
     return ExpectEnd(peer);
-  if (verb == "close") {
-    peers_.erase(found);
-    return "";
-  }
-  if (verb == "reset") {  // as a process that dies does
-    const linger now{1, 0};
-    setsockopt(peer->socket.fd(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
-    peers_.erase(found);
-    return "";
-  }
+  if (verb == "close" || verb == "reset")
+    return Remove(name, verb == "reset");
   return "no such step: " + verb;
 }
 
-bool Player::ReadMore(Peer* peer, bool* ended) {
-  pollfd waits{peer->socket.fd(), POLLIN, 0};
-  *ended = false;
-  if (poll(&waits, 1, timeout_ms_) != 1)
-    return false;
+std::string Player::Connect(const std::string& name, const std::string& listener) {
+  const auto found = daemon_listeners_.find(listener);
+  if (found == daemon_listeners_.end())
+    return "the daemon has no listener " + listener;
+  peers_[name] = Peer{ConnectTo(found->second), ""};
+  return "";
+}
+
+std::string Player::Accept(const std::string& name, const std::string& listener) {
+  const auto found = listeners_.find(listener);
+  if (found == listeners_.end())
+    return "accept NAME LISTENER";
+  pollfd ready{found->second.fd(), POLLIN, 0};
+  if (poll(&ready, 1, timeout_ms_) != 1)
+    return "nobody connected to " + listener;
+  peers_[name] = Peer{Socket(accept4(ready.fd, nullptr, nullptr, SOCK_CLOEXEC)), ""};
+  return "";
+}
+
+std::string Player::Send(const Peer& peer, const std::string& text) {
+  for (std::size_t sent = 0; sent < text.size();) {
+    const ssize_t written = send(peer.socket.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
+    if (written < 0)
+      return std::string("cannot send: ") + std::strerror(errno);
+    sent += static_cast<std::size_t>(written);
+  }
+  return "";
+}
+
+// With `reset` the connection ends as that of a process that dies.
+std::string Player::Remove(const std::string& name, bool reset) {
+  const auto peer = peers_.find(name);
+  const linger at_once{1, 0};
+  if (reset)
+    setsockopt(peer->second.socket.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  peers_.erase(peer);
+  return "";
+}
+
+Player::ReadResult Player::ReadMore(Peer* peer) const {
+  pollfd ready{peer->socket.fd(), POLLIN, 0};
+  if (poll(&ready, 1, timeout_ms_) != 1)
+    return ReadResult::kTimedOut;
   char buffer[16 * 1024];
-  const ssize_t n = recv(peer->socket.fd(), buffer, sizeof(buffer), 0);
-  *ended = n <= 0;
-  if (n > 0)
-    peer->unread.append(buffer, static_cast<std::size_t>(n));
-  return n > 0;
+  const ssize_t received = recv(peer->socket.fd(), buffer, sizeof(buffer), 0);
+  if (received <= 0)
+    return ReadResult::kEnded;
+  peer->unread.append(buffer, static_cast<std::size_t>(received));
+  return ReadResult::kRead;
 }
 
 std::string Player::Expect(Peer* peer, const std::string& wanted) {
   while (true) {
-    bool needs_more = false;
-    const std::size_t took = Match(wanted, peer->unread, &needs_more);
-    if (took != std::string::npos) {
-      peer->unread.erase(0, took);
+    const BlockMatch match = MatchBlock(wanted, peer->unread);
+    if (match.length) {
+      peer->unread.erase(0, *match.length);
       return "";
     }
-    bool ended = false;
-    if (needs_more && ReadMore(peer, &ended))
-      continue;
-    return std::string(ended        ? "the connection ended"
-                       : needs_more ? "nothing more came"
-                                    : "it differs") +
-           "; wanted:\n" + Quote(wanted) + "  had:\n" + Quote(peer->unread);
+    std::string difference = "it differs";
+    if (match.needs_more) {
+      const ReadResult result = ReadMore(peer);
+      if (result == ReadResult::kRead)
+        continue;
+      difference = result == ReadResult::kEnded ? "the connection ended" : "nothing more came";
+    }
+    return difference + "; wanted:\n" + Quote(wanted) + "  had:\n" + Quote(peer->unread);
   }
 }
 
 std::string Player::ExpectEnd(Peer* peer) {
-  bool ended = false;
-  while (peer->unread.empty() && ReadMore(peer, &ended)) {
-  }
+  if (peer->unread.empty() && ReadMore(peer) == ReadResult::kEnded)
+    return "";
   if (!peer->unread.empty())
     return "wanted the connection's end, had:\n" + Quote(peer->unread);
-  return ended ? "" : "the connection stayed open";
+  return "the connection stayed open";
 }
 
 }  // namespace aldersill::tools
--- a/tools/player.h
+++ b/tools/player.h
@@ -1,68 +1,53 @@
-// Plays a recorded byte exchange from a text file against a running daemon and tells where it differs. The
-// format is in docs/rehearsal.md; the tests of the network code use this same player.
+// Plays a recorded byte exchange from a text file against a running daemon and reports where it differs. The
+// form of the file is in docs/rehearsal.md. The program `rehearse` and the network tests use it.
 #ifndef ALDERSILL_TOOLS_PLAYER_H_
 #define ALDERSILL_TOOLS_PLAYER_H_
 
-#include <netinet/in.h>
-
 #include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
-namespace aldersill::tools {
-
-// A file descriptor that closes itself.
-class Socket {
- public:
-  explicit Socket(int fd = -1) : fd_(fd) {}
-  Socket(Socket&& other) noexcept : fd_(other.Release()) {}
-  Socket& operator=(Socket&& other) noexcept;
-  ~Socket() { Close(); }
-  int fd() const { return fd_; }
-  void Close();
-  int Release();
-
- private:
-  int fd_;
-};
+#include "exchange_file.h"
+#include "loopback.h"
 
-sockaddr_in Loopback(std::uint16_t port);
-// Loopback only: both throw std::runtime_error.
-Socket ListenOn(std::uint16_t port);  // 0: the kernel chooses
-Socket ConnectTo(std::uint16_t port);
-std::uint16_t PortOf(const Socket& socket);
+namespace aldersill::tools {
 
 class Player {
  public:
-  // `doors`: where the daemon listens, by the name that `connect` uses.
+  // `daemon_listeners`: the ports on which the daemon listens, by the names that `connect` steps use.
+  // `timeout_ms`: for each wait.
   explicit Player(std::map<std::string, std::uint16_t> daemon_listeners, int timeout_ms = 10'000)
       : daemon_listeners_(std::move(daemon_listeners)), timeout_ms_(timeout_ms) {}
 
-  // Binds a stand-in's listener before the file names it; its port.
+  // Listens as a `listen` step does, before the file names the listener. Returns its port; `port` 0: the
+  // kernel chooses. Throws std::runtime_error on failure.
   std::uint16_t Listen(const std::string& name, std::uint16_t port = 0);
   void AddDaemonListener(const std::string& name, std::uint16_t port) { daemon_listeners_[name] = port; }
 
-  // Empty if all went as recorded, else what differed, line numbers included.
+  // Returns an empty string if all went as recorded, else what differed, with the line's number.
   std::string Play(const std::string& text);
 
  private:
-  struct Step {
-    int line = 0;
-    std::vector<std::string> words;
-    std::string block;  // the `|` lines that follow
-  };
-  struct Peer {
+  struct Peer {  // a connection by the name that steps use
     Socket socket;
     std::string unread;
   };
-  static std::vector<Step> Parse(const std::string& text);
-  std::string Perform(const Step& step);
+  enum class ReadResult { kRead, kEnded, kTimedOut };
+
+  // These return an empty string, or what differed.
+  std::string Perform(const ExchangeStep& step);
+  std::string PerformOnPeer(const ExchangeStep& step);
+  std::string Connect(const std::string& name, const std::string& listener);
+  std::string Accept(const std::string& name, const std::string& listener);
+  static std::string Send(const Peer& peer, const std::string& text);
   std::string Expect(Peer* peer, const std::string& wanted);
   std::string ExpectEnd(Peer* peer);
-  // False at the end of the stream or once patience is over.
-  bool ReadMore(Peer* peer, bool* ended);
-  std::string Fill(const std::string& block) const;
+  std::string Remove(const std::string& name, bool reset);
+
+  ReadResult ReadMore(Peer* peer) const;
+  std::string Expand(const std::string& block) const;
 
   std::map<std::string, std::uint16_t> daemon_listeners_;
   int timeout_ms_;
--- a/tools/probed_workers.cpp
+++ b/tools/probed_workers.cpp
@@ -4,13 +4,21 @@
 #include <sys/socket.h>
 
 #include <algorithm>
-#include <map>
+#include <string_view>
 #include <utility>
 
 namespace aldersill::tools {
+namespace {
 
-ProbedWorkers::ProbedWorkers(int workers) : probes_(static_cast<std::size_t>(workers)) {
-  for (int i = 0; i < workers; ++i) {
+constexpr int kPollMs = 50;  // also how long the end may take
+constexpr std::string_view kAnswer =
+    "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 8\r\n\r\n"
+    "{\"x0\":3}";
+
+}  // namespace
+
+ProbedWorkers::ProbedWorkers(int workers) : probe_times_(static_cast<std::size_t>(workers)) {
+  for (int worker = 0; worker < workers; ++worker) {
     listeners_.push_back(ListenOn(0));
     ports_.push_back(PortOf(listeners_.back()));
   }
@@ -24,62 +32,61 @@
 
 std::vector<ProbedWorkers::Clock::time_point> ProbedWorkers::ProbeTimes(int worker) const {
   const std::lock_guard lock(mutex_);
-  return probes_[static_cast<std::size_t>(worker)];
+  return probe_times_[static_cast<std::size_t>(worker)];
 }
 
 std::size_t ProbedWorkers::CountProbesSince(int worker, Clock::time_point since) const {
   const std::lock_guard lock(mutex_);
-  const auto& probes = probes_[static_cast<std::size_t>(worker)];
+  const auto& times = probe_times_[static_cast<std::size_t>(worker)];
   return static_cast<std::size_t>(
-      std::count_if(probes.begin(), probes.end(), [&](auto at) { return at >= since; }));
+      std::count_if(times.begin(), times.end(), [&](auto time) { return time >= since; }));
 }
 
 void ProbedWorkers::Serve() {
-  struct Caller {
-    Socket socket;
-    std::size_t worker = 0;
-    std::string head;
-  };
-  std::map<int, Caller> callers;
-  const std::string body = "{\"x0\":3}";
-  const std::string answer =
-      "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-      body;
   while (!stop_) {
     std::vector<pollfd> polled;
     for (const Socket& listener : listeners_)
       polled.push_back({listener.fd(), POLLIN, 0});
-    for (const auto& [fd, caller] : callers)
+    for (const auto& [fd, connection] : connections_)
       polled.push_back({fd, POLLIN, 0});
-    if (poll(polled.data(), polled.size(), 50) <= 0)
+    if (poll(polled.data(), polled.size(), kPollMs) <= 0)
       continue;
     for (std::size_t i = 0; i < polled.size(); ++i) {
+      const int fd = polled[i].fd;
       if (polled[i].revents == 0)
         continue;
       if (i < listeners_.size()) {
-        Socket socket(accept(polled[i].fd, nullptr, nullptr));
-        const int fd = socket.fd();
-        if (fd >= 0)
-          callers.emplace(fd, Caller{std::move(socket), i, ""});
-        continue;
+        Accept(fd, i);
+      } else if (!Read(&connections_.at(fd))) {
+        connections_.erase(fd);
       }
-      Caller& caller = callers.at(polled[i].fd);
-      char bytes[1024];
-      const ssize_t got = recv(polled[i].fd, bytes, sizeof(bytes), 0);
-      if (got > 0)
-        caller.head.append(bytes, static_cast<std::size_t>(got));
-      const bool whole = caller.head.ends_with("\r\n\r\n");
-      if (whole && caller.head.starts_with("GET /-/load ")) {
-        {
-          const std::lock_guard lock(mutex_);
-          probes_[caller.worker].push_back(Clock::now());
-        }
-        send(polled[i].fd, answer.data(), answer.size(), MSG_NOSIGNAL);
-      }
-      if (got <= 0 || whole)
-        callers.erase(polled[i].fd);
     }
   }
 }
 
+void ProbedWorkers::Accept(int listener, std::size_t worker) {
+  Socket socket(accept(listener, nullptr, nullptr));
+  const int fd = socket.fd();
+  if (fd >= 0)
+    connections_.emplace(fd, Connection{std::move(socket), worker, ""});
+}
+
+bool ProbedWorkers::Read(Connection* connection) {
+  char bytes[1024];
+  const ssize_t received = recv(connection->socket.fd(), bytes, sizeof(bytes), 0);
+  if (received <= 0)
+    return false;
+  connection->head.append(bytes, static_cast<std::size_t>(received));
+  if (!connection->head.ends_with("\r\n\r\n"))
+    return true;
+  if (connection->head.starts_with("GET /-/load ")) {
+    {
+      const std::lock_guard lock(mutex_);
+      probe_times_[connection->worker].push_back(Clock::now());
+    }
+    send(connection->socket.fd(), kAnswer.data(), kAnswer.size(), MSG_NOSIGNAL);
+  }
+  return false;
+}
+
 }  // namespace aldersill::tools
--- a/tools/rehearse.cpp
+++ b/tools/rehearse.cpp
@@ -1,5 +1,6 @@
 // rehearse: plays a recorded byte exchange against a running daemon.
-//   rehearse FILE DOOR=PORT ...      say, rehearse calm.txt http=8000 faktory=7419
+//   rehearse FILE LISTENER=PORT ...      for example: rehearse calm.txt http=8000 faktory=7419
+// Ends with 0 if all went as recorded, 1 if something differed, 2 for wrong arguments.
 #include <cstdio>
 #include <exception>
 #include <fstream>
@@ -21,12 +22,12 @@
           static_cast<std::uint16_t>(std::stoi(listener.substr(equals + 1)));
     }
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "rehearse: '%s' is not DOOR=PORT\n", e.what());
+    std::fprintf(stderr, "rehearse: '%s' is not LISTENER=PORT\n", e.what());
     return 2;
   }
   std::ifstream file(argc > 1 ? argv[1] : "");
   if (!file) {
-    std::fprintf(stderr, "usage: rehearse FILE DOOR=PORT ...\n");
+    std::fprintf(stderr, "usage: rehearse FILE LISTENER=PORT ...\n");
     return 2;
   }
   std::ostringstream text;
--- a/tools/snmp_check.cpp
+++ b/tools/snmp_check.cpp
@@ -1,4 +1,4 @@
-// snmp_check PORT: walks ALDERSILL-MIB of a daemon on this machine and prints what stands there.
+// snmp_check PORT: walks ALDERSILL-MIB of a daemon on this machine and prints each variable with its value.
 #include <cstdio>
 #include <exception>
 #include <stdexcept>
--- a/tools/snmp_probe.cpp
+++ b/tools/snmp_probe.cpp
@@ -1,12 +1,13 @@
 #include "snmp_probe.h"
 
 // clang-format off
-// Net-SNMP's headers come in this order.
+// Net-SNMP requires this order of its headers.
 #include <net-snmp/net-snmp-config.h>
 #include <net-snmp/net-snmp-includes.h>
 // clang-format on
 
 #include <cstdlib>
+#include <memory>
 #include <stdexcept>
 
 namespace aldersill::tools {
@@ -31,16 +32,16 @@
   return text;
 }
 
-std::string ValueOf(const netsnmp_variable_list* var) {
-  switch (var->type) {
+std::string ValueOf(const netsnmp_variable_list* variable) {
+  switch (variable->type) {
     case ASN_GAUGE:
     case ASN_INTEGER:
-      return std::to_string(*var->val.integer);
+      return std::to_string(*variable->val.integer);
     case ASN_COUNTER64:
-      return std::to_string((static_cast<std::uint64_t>(var->val.counter64->high) << 32) |
-                            var->val.counter64->low);
+      return std::to_string((static_cast<std::uint64_t>(variable->val.counter64->high) << 32) |
+                            variable->val.counter64->low);
     case ASN_OCTET_STR:
-      return std::string(reinterpret_cast<const char*>(var->val.string), var->val_len);
+      return std::string(reinterpret_cast<const char*>(variable->val.string), variable->val_len);
     case SNMP_NOSUCHOBJECT:
       return "noSuchObject";
     case SNMP_NOSUCHINSTANCE:
@@ -48,10 +49,41 @@
     case SNMP_ENDOFMIBVIEW:
       return "endOfMibView";
     default:
-      return "type " + std::to_string(var->type);
+      return "type " + std::to_string(variable->type);
   }
 }
 
+netsnmp_pdu* MakePdu(int command, const std::string& id, long value) {
+  oid name[MAX_OID_LEN];
+  std::size_t length = MAX_OID_LEN;
+  if (read_objid(id.c_str(), name, &length) == 0)
+    throw std::runtime_error("snmp: not an identifier: " + id);
+  netsnmp_pdu* pdu = snmp_pdu_create(command);
+  if (command == SNMP_MSG_SET) {
+    snmp_pdu_add_variable(pdu, name, length, ASN_GAUGE, &value, sizeof(value));
+  } else {
+    snmp_add_null_var(pdu, name, length);
+  }
+  return pdu;
+}
+
+// The agent's answer to a request for `id`.
+std::optional<SnmpProbe::Binding> BindingOf(const std::string& id, const netsnmp_pdu& response) {
+  if (response.errstat != SNMP_ERR_NOERROR)
+    return SnmpProbe::Binding{id, snmp_errstring(static_cast<int>(response.errstat))};
+  const netsnmp_variable_list* variable = response.variables;
+  if (variable == nullptr)
+    return std::nullopt;
+  return SnmpProbe::Binding{Dotted(variable->name, variable->name_length), ValueOf(variable)};
+}
+
+struct SessionCloser {
+  void operator()(void* session) const { snmp_sess_close(session); }
+};
+struct PduDeleter {
+  void operator()(netsnmp_pdu* pdu) const { snmp_free_pdu(pdu); }
+};
+
 }  // namespace
 
 SnmpProbe::SnmpProbe(std::uint16_t port, std::string community, int timeout_ms)
@@ -61,44 +93,33 @@
   InitOnce();
 }
 
-std::optional<SnmpProbe::Binding> SnmpProbe::SendRequest(Kind kind, const std::string& id, long value) {
-  netsnmp_session wanted;
-  snmp_sess_init(&wanted);
-  wanted.version = SNMP_VERSION_2c;
-  wanted.peername = peer_.data();
-  wanted.community = reinterpret_cast<u_char*>(community_.data());
-  wanted.community_len = community_.size();
-  wanted.timeout = timeout_ms_ * 1000L;
-  wanted.retries = 0;
-  void* session = snmp_sess_open(&wanted);
+void* SnmpProbe::OpenSession() {
+  netsnmp_session settings;
+  snmp_sess_init(&settings);
+  settings.version = SNMP_VERSION_2c;
+  settings.peername = peer_.data();
+  settings.community = reinterpret_cast<u_char*>(community_.data());
+  settings.community_len = community_.size();
+  settings.timeout = timeout_ms_ * 1000L;
+  settings.retries = 0;
+  void* session = snmp_sess_open(&settings);
   if (session == nullptr)
     throw std::runtime_error("snmp: cannot open a session");
-  oid name[MAX_OID_LEN];
-  std::size_t length = MAX_OID_LEN;
-  if (read_objid(id.c_str(), name, &length) == 0)
-    throw std::runtime_error("snmp: not an identifier: " + id);
-  netsnmp_pdu* pdu = snmp_pdu_create(kind == kGet       ? SNMP_MSG_GET
-                                     : kind == kGetNext ? SNMP_MSG_GETNEXT
-                                                        : SNMP_MSG_SET);
-  if (kind == kSet) {
-    snmp_pdu_add_variable(pdu, name, length, ASN_GAUGE, &value, sizeof(value));
-  } else {
-    snmp_add_null_var(pdu, name, length);
-  }
-  netsnmp_pdu* response = nullptr;
-  std::optional<Binding> binding;
-  if (snmp_sess_synch_response(session, pdu, &response) == STAT_SUCCESS && response != nullptr) {
-    const netsnmp_variable_list* var = response->variables;
-    if (response->errstat != SNMP_ERR_NOERROR) {
-      binding = Binding{id, snmp_errstring(static_cast<int>(response->errstat))};
-    } else if (var != nullptr) {
-      binding = Binding{Dotted(var->name, var->name_length), ValueOf(var)};
-    }
-  }
-  if (response != nullptr)
-    snmp_free_pdu(response);
-  snmp_sess_close(session);
-  return binding;
+  return session;
+}
+
+std::optional<SnmpProbe::Binding> SnmpProbe::SendRequest(Request kind, const std::string& id, long value) {
+  const int command = kind == Request::kGet       ? SNMP_MSG_GET
+                      : kind == Request::kGetNext ? SNMP_MSG_GETNEXT
+                                                  : SNMP_MSG_SET;
+  const std::unique_ptr<void, SessionCloser> session(OpenSession());
+  netsnmp_pdu* received = nullptr;
+  // Frees the request.
+  const int status = snmp_sess_synch_response(session.get(), MakePdu(command, id, value), &received);
+  const std::unique_ptr<netsnmp_pdu, PduDeleter> response(received);
+  if (status != STAT_SUCCESS || response == nullptr)
+    return std::nullopt;
+  return BindingOf(id, *response);
 }
 
 std::vector<SnmpProbe::Binding> SnmpProbe::Walk(const std::string& root) {
--- a/tools/stand_ins.cpp
+++ b/tools/stand_ins.cpp
@@ -9,25 +9,37 @@
 #include <stdexcept>
 
 namespace aldersill::tools {
+namespace {
+
+constexpr std::chrono::seconds kWatchTime(5);
+
+std::string OkResponse(const std::string& body) {
+  return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+}  // namespace
 
 void Wire::Write(const std::string& text) {
   for (std::size_t sent = 0; sent < text.size();) {
-    const ssize_t n = send(socket_.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0)
+    const ssize_t written = send(socket_.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
+    if (written <= 0)
       throw std::runtime_error("the connection broke");
-    sent += static_cast<std::size_t>(n);
+    sent += static_cast<std::size_t>(written);
   }
 }
 
+void Wire::ReadMore() {
+  char buffer[8192];
+  const ssize_t received = recv(socket_.fd(), buffer, sizeof(buffer), 0);
+  if (received <= 0)
+    throw std::runtime_error("the connection ended");
+  unread_.append(buffer, static_cast<std::size_t>(received));
+}
+
 std::string Wire::ReadLine() {
   std::size_t end;
-  while ((end = unread_.find('\n')) == std::string::npos) {
-    char buffer[8192];
-    const ssize_t n = recv(socket_.fd(), buffer, sizeof(buffer), 0);
-    if (n <= 0)
-      throw std::runtime_error("the connection ended");
-    unread_.append(buffer, static_cast<std::size_t>(n));
-  }
+  while ((end = unread_.find('\n')) == std::string::npos)
+    ReadMore();
   std::string line = unread_.substr(0, end);
   unread_.erase(0, end + 1);
   if (!line.empty() && line.back() == '\r')
@@ -36,13 +48,8 @@
 }
 
 std::string Wire::ReadExactly(std::size_t size) {
-  while (unread_.size() < size) {
-    char buffer[8192];
-    const ssize_t n = recv(socket_.fd(), buffer, sizeof(buffer), 0);
-    if (n <= 0)
-      throw std::runtime_error("the connection ended");
-    unread_.append(buffer, static_cast<std::size_t>(n));
-  }
+  while (unread_.size() < size)
+    ReadMore();
   std::string text = unread_.substr(0, size);
   unread_.erase(0, size);
   return text;
@@ -50,18 +57,16 @@
 
 void Wire::Abort() { shutdown(socket_.fd(), SHUT_RDWR); }
 
-// ---- Faktory ----
-
 FaktorySession::FaktorySession(std::uint16_t port, const std::string& wid) : wire_(ConnectTo(port)) {
-  const std::string hi = wire_.ReadLine();
-  if (!hi.starts_with("+HI "))
-    throw std::runtime_error("no greeting: " + hi);
+  const std::string greeting = wire_.ReadLine();
+  if (!greeting.starts_with("+HI "))
+    throw std::runtime_error("no greeting: " + greeting);
   nlohmann::json hello = {{"v", 2}};
   if (!wid.empty())
     hello.update({{"wid", wid}, {"hostname", "localhost"}, {"pid", 1}, {"labels", nlohmann::json::array()}});
   const auto reply = SendCommand("HELLO " + hello.dump());
   if (reply != "+OK")
-    throw std::runtime_error("not welcome: " + reply.value_or("null"));
+    throw std::runtime_error("HELLO was refused: " + reply.value_or("null"));
 }
 
 std::optional<std::string> FaktorySession::SendCommand(const std::string& command) {
@@ -89,42 +94,45 @@
   thread_.join();
 }
 
+bool FaktorySlot::SetSession(FaktorySession* session) {
+  const std::lock_guard lock(mutex_);
+  session_ = session;
+  return !stop_;
+}
+
 void FaktorySlot::Work(std::uint16_t port, const std::string& wid) {
-  while (!stop_) {
-    try {
+  try {
+    while (!stop_) {
       FaktorySession session(port, wid);
-      {
-        const std::lock_guard lock(mutex_);
-        if (stop_)
-          return;
-        session_ = &session;
-      }
+      if (!SetSession(&session))
+        return;
       try {
-        while (!stop_) {
-          const auto fetched = session.SendCommand("FETCH default");
-          if (!fetched)
-            continue;
-          if (!fetched->starts_with("{"))
-            throw std::runtime_error("FETCH: " + *fetched);
-          const nlohmann::json job = nlohmann::json::parse(*fetched);
-          const std::string jid = job.at("jid");
-          const JobOutcome outcome = run_(jid, job.at("jobtype"));
-          if (outcome == JobOutcome::kDrop)
-            break;
-          session.SendCommand((outcome == JobOutcome::kDone ? "ACK " : "FAIL ") +
-                              nlohmann::json{{"jid", jid}}.dump());
-        }
-      } catch (const std::exception&) {  // the daemon closed it: greet again
+        ServeJobs(&session);
+      } catch (const std::exception&) {  // the daemon closed the session: open another
       }
-      const std::lock_guard lock(mutex_);
-      session_ = nullptr;
-    } catch (const std::exception&) {
-      return;  // the daemon is gone
+      SetSession(nullptr);
     }
+  } catch (const std::exception&) {  // the daemon is gone
   }
 }
 
-// ---- The platform's HTTP ----
+// Until the slot is stopped or drops the session.
+void FaktorySlot::ServeJobs(FaktorySession* session) {
+  while (!stop_) {
+    const auto fetched = session->SendCommand("FETCH default");
+    if (!fetched)
+      continue;
+    if (!fetched->starts_with("{"))
+      throw std::runtime_error("FETCH: " + *fetched);
+    const nlohmann::json job = nlohmann::json::parse(*fetched);
+    const std::string jid = job.at("jid");
+    const JobOutcome outcome = run_(jid, job.at("jobtype"));
+    if (outcome == JobOutcome::kDrop)
+      return;
+    const std::string verb = outcome == JobOutcome::kDone ? "ACK " : "FAIL ";
+    session->SendCommand(verb + nlohmann::json{{"jid", jid}}.dump());
+  }
+}
 
 std::string HttpMessage::Header(const std::string& name) const {
   for (const auto& [key, value] : headers) {
@@ -158,11 +166,11 @@
   return ReadHttp(wire);
 }
 
-HttpServer::HttpServer(std::uint16_t port, Serve serve)
-    : serve_(std::move(serve)),
+HttpServer::HttpServer(std::uint16_t port, Handler handler)
+    : handler_(std::move(handler)),
       listener_(ListenOn(port)),
       port_(PortOf(listener_)),
-      accepting_([this] { Accept(); }) {}
+      accept_thread_([this] { AcceptConnections(); }) {}
 
 HttpServer::~HttpServer() {
   {
@@ -171,65 +179,61 @@
     for (Wire& wire : wires_)
       wire.Abort();
   }
-  shutdown(listener_.fd(), SHUT_RDWR);  // wakes accept
-  accepting_.join();
+  shutdown(listener_.fd(), SHUT_RDWR);  // ends a blocking accept
+  accept_thread_.join();
   for (std::thread& thread : threads_)
     thread.join();
 }
 
-void HttpServer::Accept() {
+void HttpServer::AcceptConnections() {
   while (true) {
     const int fd = accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC);
+    Socket connection(fd);
     const std::lock_guard lock(mutex_);
-    if (stop_ || fd < 0) {
-      Socket unused(fd);
+    if (stop_ || fd < 0)
       return;
-    }
-    Wire& wire = wires_.emplace_back(Socket(fd));
-    threads_.emplace_back([this, &wire] {
-      try {
-        while (true) {
-          const auto answer = serve_(ReadHttp(&wire));
-          if (!answer)
-            break;
-          wire.Write(*answer);
-        }
-      } catch (const std::exception&) {  // the daemon closed it
-      }
-      wire.Abort();
-    });
+    Wire& wire = wires_.emplace_back(std::move(connection));
+    threads_.emplace_back([this, &wire] { Serve(&wire); });
+  }
+}
+
+void HttpServer::Serve(Wire* wire) {
+  try {
+    while (const auto answer = handler_(ReadHttp(wire)))
+      wire->Write(*answer);
+  } catch (const std::exception&) {  // the daemon closed the connection
   }
+  wire->Abort();
 }
 
-HttpServer::Serve JobRunningHandler(RunJob run) {
+HttpServer::Handler JobRunningHandler(RunJob run) {
   return [run = std::move(run)](const HttpMessage& request) -> std::optional<std::string> {
     const std::string id = request.Header("Req-Id");
     const JobOutcome outcome = run(id, request.Header("Req-Kind"));
     if (outcome == JobOutcome::kDrop)
       return std::nullopt;
     const char* state = outcome == JobOutcome::kDone ? "done" : "failed";
-    const std::string line =
-        nlohmann::json{{"id", id}, {"state", state}, {"result", "ran " + id}}.dump() + "\n";
-    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size()) + "\r\n\r\n" + line;
+    return OkResponse(nlohmann::json{{"id", id}, {"state", state}, {"result", "ran " + id}}.dump() + "\n");
   };
 }
 
-StandInDiscovery::StandInDiscovery(std::uint16_t port, std::string servers)
-    : server_(port,
-              [this, servers = std::move(servers)](const HttpMessage& request) -> std::optional<std::string> {
-                const bool first = request.start.find("index=2&") == std::string::npos;
-                std::unique_lock lock(mutex_);
-                if (!first)
-                  stopped_.wait_for(lock, std::chrono::seconds(5), [this] { return stop_; });
-                const std::string body = first ? R"({"version":2,"full":true,"servers":)" + servers + "}"
-                                               : R"({"version":2,"full":false,"servers":[]})";
-                return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                       body;
-              }) {}
+StandInDiscovery::StandInDiscovery(std::uint16_t port, std::string servers_json)
+    : servers_json_(std::move(servers_json)),
+      server_(port, [this](const HttpMessage& request) { return Answer(request); }) {}
+
 StandInDiscovery::~StandInDiscovery() {
   const std::lock_guard lock(mutex_);
   stop_ = true;
   stopped_.notify_all();
 }
 
+std::string StandInDiscovery::Answer(const HttpMessage& request) {
+  const bool has_list = request.start.find("index=2&") != std::string::npos;
+  if (!has_list)
+    return OkResponse(R"({"version":2,"full":true,"servers":)" + servers_json_ + "}");
+  std::unique_lock lock(mutex_);
+  stopped_.wait_for(lock, kWatchTime, [this] { return stop_; });
+  return OkResponse(R"({"version":2,"full":false,"servers":[]})");
+}
+
 }  // namespace aldersill::tools
--- a/tools/udp_relay.h
+++ b/tools/udp_relay.h
@@ -1,6 +1,7 @@
-// A relay between instances on loopback that can be told to drop: it stands where each instance is reached,
-// and passes on what comes as if from where its sender is reached. For tests of splits, on a thread of its
-// own.
+// Relays datagrams between cluster members on loopback, on a thread of its own, and can partition them. Each
+// member is reached at an endpoint of the relay, which forwards datagrams as if from the sender's endpoint.
+//
+// tests/fleet/datagram_links.h is its counterpart on an event loop, which can also lose and delay datagrams.
 #ifndef ALDERSILL_TOOLS_UDP_RELAY_H_
 #define ALDERSILL_TOOLS_UDP_RELAY_H_
 
@@ -8,31 +9,39 @@
 #include <cstdint>
 #include <mutex>
 #include <set>
+#include <span>
 #include <thread>
 #include <utility>
 #include <vector>
 
-#include "player.h"
+#include "loopback.h"
 
 namespace aldersill::tools {
 
 class UdpRelay {
  public:
-  explicit UdpRelay(int instances);
+  // Throws std::runtime_error if it cannot bind a socket for each member.
+  explicit UdpRelay(int members);
   ~UdpRelay();
 
-  std::uint16_t port(int instance) const { return ports_[instance]; }  // where it is reached
-  void SetMemberPort(int instance, std::uint16_t port);                // where it really is
+  // Where `member` is reached.
+  std::uint16_t port(int member) const { return ports_[member]; }
+  // Where its process listens. Until then its datagrams, and those to it, are dropped.
+  void SetMemberPort(int member, std::uint16_t port);
+  // Drops all datagrams in that direction from now on.
   void Cut(int from, int to);
   void HealAll();
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  void Carry();
+  void Run();
+  void Receive(std::size_t to);
+  void Forward(std::uint16_t sender_port, std::size_t to, std::span<const char> datagram);
+
   std::vector<Socket> sockets_;
   std::vector<std::uint16_t> ports_;
-  std::mutex mutex_;
-  std::vector<std::uint16_t> real_;
+  std::mutex mutex_;  // guards the next two
+  std::vector<std::uint16_t> member_ports_;
   std::set<std::pair<int, int>> cuts_;
   std::atomic<std::uint64_t> dropped_ = 0;
   std::atomic<bool> stop_ = false;
