--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -1,4 +1,4 @@
-// toy_platform PORT: discovery at PORT, and two instances that take 300 ms for each job, until stopped.
+// toy_platform PORT: discovery at PORT, and two workers that take 300 ms for each job, until SIGINT or SIGTERM.
 #include <signal.h>
 
 #include <chrono>
@@ -12,12 +12,12 @@
 
 int main(int argc, char** argv) {
   using namespace aldersill::tools;
-  // Taken by sigwait below, in whatever thread they would come.
-  sigset_t stop;
-  sigemptyset(&stop);
-  sigaddset(&stop, SIGINT);
-  sigaddset(&stop, SIGTERM);
-  pthread_sigmask(SIG_BLOCK, &stop, nullptr);
+  // Blocked in all threads, so that only sigwait below receives them.
+  sigset_t stop_signals;
+  sigemptyset(&stop_signals);
+  sigaddset(&stop_signals, SIGINT);
+  sigaddset(&stop_signals, SIGTERM);
+  pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
   try {
     if (argc != 2)
       throw std::invalid_argument("usage: toy_platform PORT");
@@ -27,9 +27,9 @@
       std::fflush(stdout);
       return JobOutcome::kDone;
     };
-    HttpServer one(0, JobRunningHandler(run)), two(0, JobRunningHandler(run));
+    const HttpServer first(0, JobRunningHandler(run)), second(0, JobRunningHandler(run));
     std::string servers;
-    for (const HttpServer* server : {&one, &two}) {
+    for (const HttpServer* server : {&first, &second}) {
       servers += servers.empty() ? "[" : ",";
       servers += R"({"id":"toy-)" + std::to_string(server->port()) + R"(","addr":"127.0.0.1:)" +
                  std::to_string(server->port()) +
@@ -39,7 +39,7 @@
     std::printf("discovery on 127.0.0.1:%d\n", discovery.port());
     std::fflush(stdout);
     int signal = 0;
-    sigwait(&stop, &signal);
+    sigwait(&stop_signals, &signal);
     return 0;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "toy_platform: %s\n", e.what());
--- a/examples/try.sh
+++ b/examples/try.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Plays one job through a daemon of its own, from a bare Debian machine on: installs what is missing, builds, starts
-# the toy platform and the daemon on free loopback ports, and ends both. ALDERSILL_BUILD=DIR takes the programs
-# already built in DIR: nothing is installed or built.
+# Plays one job through a daemon that it starts, on a bare Debian machine: installs missing packages, builds, starts the
+# toy platform and the daemon on free loopback ports, and ends both. With ALDERSILL_BUILD=DIR it uses the programs built
+# in DIR, and installs and builds nothing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,7 +12,7 @@
 
 build=${ALDERSILL_BUILD:-}
 if [[ -z $build ]]; then
-  # The README's list.
+  # The same list as in the README.
   missing=()
   for package in g++ cmake make pkg-config libevent-dev libhttp-parser-dev nlohmann-json3-dev libsnmp-dev \
     libwrap0-dev libyaml-cpp-dev libcli11-dev libspdlog-dev libsodium-dev libxxhash-dev libmsgpack-cxx-dev \
@@ -50,7 +50,7 @@
 trap stop EXIT
 trap 'exit 130' INT TERM
 
-# await PID FILE PATTERN: the first line of a program's output that matches; it fails once the program has ended.
+# await PID FILE PATTERN: prints the first line of a program's output that matches; fails if the program ends before.
 await() {
   local line
   while ! line=$(grep -m1 -E "$3" "$2"); do
@@ -63,7 +63,7 @@
   echo "$line"
 }
 
-echo "== the toy platform: discovery and two instances"
+echo "== the toy platform: discovery and two workers"
 "$build/toy_platform" 0 >"$folder/platform.log" 2>&1 &
 platform=$!
 line=$(await $platform "$folder/platform.log" '^discovery on ') || fail "the toy platform does not start"
@@ -79,21 +79,22 @@
   ALDERSILL_SETTINGS=$folder/aldersill.yaml "$build/aldersill" 2>"$folder/daemon.log" &
 daemon=$!
 await $daemon "$folder/daemon.log" ' serving ' || fail "the daemon does not start"
+# port NAME: prints the port of the daemon's listener of that name.
 port() {
-  local door
-  door=$(grep -m1 "door name=$1 " "$folder/daemon.log") || fail "the daemon has no door $1"
-  echo "${door##*:}"
+  local line
+  line=$(grep -m1 "door name=$1 " "$folder/daemon.log") || fail "the daemon has no listener $1"
+  echo "${line##*:}"
 }
 http=$(port http) snmp=$(port snmp)
-# A job that comes before discovery's list is refused, with advice to come back.
-await $daemon "$folder/daemon.log" ' instance_told .*state=ready' || fail "no instance is told"
+# A job that arrives before discovery's list is rejected, with Retry-After.
+await $daemon "$folder/daemon.log" ' instance_told .*state=ready' || fail "discovery lists no worker"
 
 echo "== a job: the bytes of examples/first_job.txt to 127.0.0.1:$http, and the answer as they record it"
 "$build/rehearse" examples/first_job.txt "http=$http" || fail "the job is not answered as recorded"
 sed -n '/^expect/,$s/^|-\{0,1\} \{0,1\}/  /p' examples/first_job.txt
 grep -E ' (request_taken|execution_started|execution_ended|request_answered) ' "$folder/daemon.log" || true
 
-echo "== what the daemon has counted, over SNMP (mibs/ALDERSILL-MIB.txt): requests taken and served of the class"
+echo "== the daemon's counters, over SNMP (mibs/ALDERSILL-MIB.txt): requests taken and served of the class"
 counted=$("$build/snmp_check" "$snmp") || fail "the SNMP agent does not answer"
 mib=1.3.6.1.4.1.8072.9999.9999.7419
 for row in "2.1.2.1 class" "2.1.3.1 taken" "2.1.4.1 served"; do
@@ -103,7 +104,7 @@
   [[ $name == class || ${value##* = } == 1 ]] || fail "one job was played, and $name is ${value##* = }"
 done
 
-echo "== SIGTERM: it finishes what it has and ends with 0"
+echo "== SIGTERM: it finishes its requests and ends with 0"
 kill -TERM $daemon
 wait $daemon || fail "the daemon ended with $?"
 daemon=
