--- /dev/null
+++ b/src/dispatch/cancellation.h
@@ -0,0 +1,33 @@
+// Cancels attempts whose outcome is no longer needed: those beside a hedged request's first one to start, and
+// all of a request that has ended.
+#ifndef ALDERSILL_SRC_DISPATCH_CANCELLATION_H_
+#define ALDERSILL_SRC_DISPATCH_CANCELLATION_H_
+
+#include <cstddef>
+#include <utility>
+
+#include "dispatch/context.h"
+#include "dispatch/request.h"
+
+namespace aldersill::dispatch {
+
+// Emits a Cancel for one attempt, at most once.
+inline void CancelAttempt(Context& context, Request* request, std::size_t attempt_number) {
+  if (!std::exchange(request->attempts[attempt_number].cancelled, true))
+    context.Emit(Cancel{request->id, static_cast<int>(attempt_number)});
+}
+
+// Cancels the open attempts except `keep` (null: none), where the settings allow it.
+inline void CancelOpenAttempts(Context& context, Request* request, const Attempt* keep) {
+  if (!context.settings().cancel)
+    return;
+  for (std::size_t i = 0; i < request->attempts.size(); ++i) {
+    const Attempt& attempt = request->attempts[i];
+    if (attempt.open && &attempt != keep)
+      CancelAttempt(context, request, i);
+  }
+}
+
+}  // namespace aldersill::dispatch
+
+#endif  // ALDERSILL_SRC_DISPATCH_CANCELLATION_H_
--- /dev/null
+++ b/src/dispatch/context.h
@@ -0,0 +1,78 @@
+// What every module of a dispatcher needs to handle one event: the settings, the time, random draws and the
+// list that takes the actions. Owned by the dispatcher; the modules hold references to it.
+#ifndef ALDERSILL_SRC_DISPATCH_CONTEXT_H_
+#define ALDERSILL_SRC_DISPATCH_CONTEXT_H_
+
+#include <algorithm>
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "aldersill/dispatch/dispatcher.h"
+#include "dispatch/constants.h"
+#include "dispatch/random.h"
+#include "dispatch/settings.h"
+
+namespace aldersill::dispatch {
+
+// What a timer is for; the upper byte of its token. The rest of the token is the request's id, or 0.
+enum class TimerKind : std::uint64_t {
+  kTokenIssue,     // a token bank's next token falls due while jobs are buffered
+  kDeadline,       // a request's client stops waiting
+  kListPoll,       // the endpoint list has to be called for
+  kAnswerOverdue,  // a worker should have answered an attempt of the request
+};
+
+class Context {
+ public:
+  // Throws std::invalid_argument naming the setting that makes no sense.
+  Context(Settings settings, std::uint64_t seed)
+      : settings_(ValidatedSettings(std::move(settings))), random_(seed) {}
+
+  // Starts the handling of an event. An earlier time than the one before counts as that later one.
+  void BeginEvent(Micros now, std::vector<Action>* actions) {
+    now_ = std::max(now_, now);
+    actions_ = actions;
+  }
+
+  const Settings& settings() const { return settings_; }
+  Random& random() { return random_; }
+  Micros now() const { return now_; }
+  // Microseconds from `then` to now.
+  double Since(Micros then) const { return static_cast<double>(now_ - then); }
+
+  void Emit(Action action) { actions_->push_back(std::move(action)); }
+  void StartTimer(Micros delay, TimerKind kind, RequestId request = {}) {
+    const std::uint64_t token =
+        (static_cast<std::uint64_t>(kind) << kTimerKindShift) | static_cast<std::uint64_t>(request);
+    Emit(SetTimer{std::max<Micros>(delay, 1), token});
+  }
+  static TimerKind KindOf(const TimerFired& timer) {
+    return static_cast<TimerKind>(timer.token >> kTimerKindShift);
+  }
+  static RequestId RequestOf(const TimerFired& timer) {
+    return RequestId{timer.token & ((std::uint64_t{1} << kTimerKindShift) - 1)};
+  }
+
+  // At most one line in ten seconds: further ones are dropped, so that an outage does not flood the log.
+  void LogRateLimited(std::string text) {
+    if (now_ < next_log_at_)
+      return;
+    next_log_at_ = now_ + 10 * static_cast<Micros>(kSecond);
+    Emit(Log{std::move(text)});
+  }
+
+ private:
+  static constexpr int kTimerKindShift = 56;
+
+  const Settings settings_;
+  Random random_;
+  Micros now_ = 0;
+  std::vector<Action>* actions_ = nullptr;
+  Micros next_log_at_ = 0;
+};
+
+}  // namespace aldersill::dispatch
+
+#endif  // ALDERSILL_SRC_DISPATCH_CONTEXT_H_
--- /dev/null
+++ b/src/dispatch/dispatcher.cpp
@@ -0,0 +1,321 @@
+// The dispatcher: passes each event to the modules that decide on it, in a fixed order, and follows each
+// request from its arrival to its final answer. docs/design.md lists the modules.
+#include "aldersill/dispatch/dispatcher.h"
+
+#include <cstddef>
+#include <utility>
+#include <variant>
+
+#include "dispatch/cancellation.h"
+#include "dispatch/context.h"
+#include "dispatch/endpoint_list_polling.h"
+#include "dispatch/fleet.h"
+#include "dispatch/job_pricing.h"
+#include "dispatch/key_popularity.h"
+#include "dispatch/outcome_learning.h"
+#include "dispatch/outlier_ejection.h"
+#include "dispatch/rate_control.h"
+#include "dispatch/request.h"
+#include "dispatch/retry_policy.h"
+#include "dispatch/run_times.h"
+#include "dispatch/slow_start.h"
+#include "dispatch/throttle.h"
+#include "dispatch/unresponsive_workers.h"
+#include "dispatch/worker_estimates.h"
+#include "dispatch/worker_selection.h"
+
+namespace aldersill::dispatch {
+
+class Dispatcher::Impl {
+ public:
+  Impl(Settings settings, std::uint64_t seed);
+
+  void Handle(Micros now, const Event& event, std::vector<Action>* actions);
+  bool Avoids(const std::string& worker) const { return fleet_.IsEjected(worker, context_.now()); }
+
+ private:
+  void Begin();
+  void IssueDueTokens();
+
+  void Apply(const WorkerList& list);
+  void Apply(const Arrival& arrival);
+  void Apply(const StreamStarted& started);
+  void Apply(const Progress& progress);
+  void Apply(const AttemptEnded& ended);
+  void Apply(const ClientGone& gone);
+  void Apply(const TimerFired& timer);
+  void Apply(const ProbeDone& probe);
+
+  void Admit(Request* request);
+  void SendAttempt(Request* request);
+  void SendNextAttempt(Request* request, const Attempt& failed);
+  void Finish(Request* request);
+  void RejectOverdueJobs(int tenant);
+  void ProbeForReport();
+
+  static constexpr int kUnknownClass = -1;
+
+  Context context_;
+  NameIndex class_names_;
+  RequestTable requests_;
+  KeyPopularity keys_;
+  Fleet fleet_;
+  RunTimes run_times_;
+  JobPricing pricing_;
+  RateControl rate_;
+  Throttle throttle_;
+  SlowStart slow_start_;
+  WorkerEstimates estimates_;
+  OutlierEjection ejection_;
+  OutcomeLearning outcomes_;
+  UnresponsiveWorkers unresponsive_workers_;
+  WorkerSelection selection_;
+  EndpointListPolling list_polling_;
+  bool has_begun_ = false;
+};
+
+Dispatcher::Impl::Impl(Settings settings, std::uint64_t seed)
+    : context_(std::move(settings), seed),
+      fleet_(context_.settings()),
+      run_times_(context_.settings().classes),
+      pricing_(context_.settings(), run_times_),
+      rate_(context_, fleet_, pricing_),
+      throttle_(context_, requests_, rate_, pricing_),
+      slow_start_(context_, fleet_, run_times_, pricing_),
+      estimates_(context_, fleet_, run_times_),
+      ejection_(context_, fleet_),
+      outcomes_(context_, fleet_, run_times_, estimates_, ejection_, rate_),
+      unresponsive_workers_(context_, fleet_, run_times_, throttle_, ejection_),
+      selection_(context_, fleet_, run_times_, keys_, estimates_, ejection_, slow_start_),
+      list_polling_(context_) {
+  for (const ClassSettings& job_class : context_.settings().classes)
+    class_names_.emplace(job_class.name, static_cast<int>(class_names_.size()));
+}
+
+void Dispatcher::Impl::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
+  context_.BeginEvent(now, actions);
+  // An event takes effect before the tokens of the time that led up to it, which release buffered jobs: their
+  // client or a worker may be gone. Only an arrival comes after the jobs that were buffered before it.
+  const auto* arrival = std::get_if<Arrival>(&event);
+  if (arrival == nullptr)
+    std::visit([this](const auto& fields) { Apply(fields); }, event);
+  if (!has_begun_)
+    Begin();
+  IssueDueTokens();
+  for (int tenant = 0; tenant < throttle_.tenants(); ++tenant)
+    RejectOverdueJobs(tenant);
+  if (arrival != nullptr)
+    Apply(*arrival);
+  throttle_.ScheduleWakeUp();
+}
+
+void Dispatcher::Impl::Begin() {
+  has_begun_ = true;
+  slow_start_.Begin();
+  rate_.Begin();
+  throttle_.Begin();
+  list_polling_.Begin();
+}
+
+void Dispatcher::Impl::IssueDueTokens() {
+  throttle_.ForgetOldTokens();
+  while (throttle_.IsTokenDue()) {
+    Request* paid = throttle_.IssueToken();
+    if (paid != nullptr)
+      SendAttempt(paid);
+  }
+}
+
+void Dispatcher::Impl::RejectOverdueJobs(int tenant) {
+  // Finish removes jobs, here and, as their tokens pay for others, further ahead.
+  const auto& buffered = throttle_.buffered(tenant);
+  for (std::size_t i = buffered.size(); i-- > 0;) {
+    if (i >= buffered.size())
+      continue;
+    Request& request = requests_.At(buffered[i]);
+    if (throttle_.IsOverdue(request))
+      Finish(&request);
+  }
+}
+
+// ---- Requests ----
+
+void Dispatcher::Impl::Apply(const Arrival& arrival) {
+  if (requests_.Contains(arrival.request))
+    return;
+  const int job_class = IndexOf(class_names_, arrival.job_class, kUnknownClass);
+  // Nothing was sent: harmless to try elsewhere.
+  if (job_class == kUnknownClass || arrival.time_left <= 0)
+    return context_.Emit(Refuse{arrival.request});
+  Request& request = requests_.Add(arrival.request);
+  request.job_class = job_class;
+  request.tenant = throttle_.TenantOf(arrival.tenant);
+  request.slots = std::max(1, arrival.slots);
+  request.arrived = context_.now();
+  request.deadline = context_.now() + arrival.time_left;
+  request.key = arrival.key;
+  if (request.key)
+    keys_.Record(*request.key);
+  context_.StartTimer(arrival.time_left, TimerKind::kDeadline, request.id);
+  ProbeForReport();
+  Admit(&request);
+}
+
+void Dispatcher::Impl::Admit(Request* request) {
+  request->price = pricing_.PriceArrival(*request);
+  rate_.RecordArrival(request->price);
+  switch (throttle_.Admit(request)) {
+    case Throttle::Admission::kPaid:
+      return SendAttempt(request);
+    case Throttle::Admission::kRejected:
+      return Finish(request);
+    case Throttle::Admission::kBuffered:
+      return;
+  }
+}
+
+// Sends to the best worker; without one, the request ends unless an attempt is still open.
+void Dispatcher::Impl::SendAttempt(Request* request) {
+  const Micros start_by = LatestAttemptStart(context_.settings(), *request);
+  const int index = context_.now() < start_by ? selection_.Select(*request) : kNoWorker;
+  if (index == kNoWorker) {
+    if (!request->HasOpenAttempt())
+      Finish(request);
+    return;
+  }
+  fleet_.RecordSent(index, request->slots, request->key);
+  request->attempts.push_back(Attempt{.worker = index, .sent = context_.now()});
+  context_.Emit(Send{.request = request->id, .worker = fleet_.worker(index).name, .start_by = start_by});
+  unresponsive_workers_.WatchAttempt(*request);
+}
+
+void Dispatcher::Impl::Finish(Request* request) {
+  if (!std::exchange(request->ended, true)) {
+    if (IsRejectionSafe(context_.settings(), *request))
+      context_.Emit(Refuse{.request = request->id, .retry_after = throttle_.RetryAfter(*request)});
+    else
+      context_.Emit(Fail{.request = request->id});
+  }
+  // What was paid for a buffered job goes to those behind it.
+  for (int paid = throttle_.RemoveFromBuffer(*request); paid > 0; --paid) {
+    Request* next = throttle_.AddToken(request->tenant);
+    if (next != nullptr)
+      SendAttempt(next);
+  }
+  CancelOpenAttempts(context_, request, nullptr);
+  if (!request->HasOpenAttempt())
+    requests_.Erase(request->id);  // else its outcomes are still to come
+}
+
+void Dispatcher::Impl::Apply(const StreamStarted& started) {
+  if (requests_.FindOpenAttempt(started.request, started.attempt_number) != nullptr)
+    requests_.At(started.request).streaming = true;
+  Apply(Progress{.request = started.request, .attempt_number = started.attempt_number, .started = true});
+}
+
+void Dispatcher::Impl::Apply(const Progress& progress) {
+  Attempt* attempt = requests_.FindOpenAttempt(progress.request, progress.attempt_number);
+  if (attempt == nullptr || attempt->started != 0)
+    return;
+  Request& request = requests_.At(progress.request);
+  const bool is_first = !request.HasStarted();
+  attempt->started = context_.now();
+  outcomes_.RecordStart(request, *attempt);
+  if (is_first && !request.ended)
+    CancelOpenAttempts(context_, &request, attempt);
+}
+
+void Dispatcher::Impl::Apply(const AttemptEnded& ended) {
+  Attempt* attempt = requests_.FindOpenAttempt(ended.request, ended.attempt_number);
+  if (attempt == nullptr)
+    return;
+  Request& request = requests_.At(ended.request);
+  attempt->open = false;
+  attempt->may_have_run = ended.outcome != Outcome::kFull && ended.outcome != Outcome::kConnectFailed &&
+                          ended.outcome != Outcome::kNotSent;
+  fleet_.RecordEnded(attempt->worker, request.slots);
+  estimates_.RecordReport(attempt->worker, ended.report);
+  outcomes_.RecordOutcome(request, *attempt, ended.outcome);
+  request.ended = request.ended || ended.request_ended;
+  if (request.ended || context_.now() >= request.deadline)
+    return Finish(&request);
+  if (!request.HasOpenAttempt())
+    SendNextAttempt(&request, *attempt);
+}
+
+// An attempt after one that may have run must pay again, so that failures cannot feed an overload with
+// retries.
+void Dispatcher::Impl::SendNextAttempt(Request* request, const Attempt& failed) {
+  if (failed.may_have_run) {
+    if (!throttle_.CanPay(*request) || !MayStartAttempt(context_.settings(), *request, context_.now()))
+      return Finish(request);
+    throttle_.Pay(*request);
+  }
+  SendAttempt(request);
+}
+
+void Dispatcher::Impl::Apply(const ClientGone& gone) {
+  Request* request = requests_.Find(gone.request);
+  if (request == nullptr)
+    return;
+  request->ended = true;
+  Finish(request);
+}
+
+void Dispatcher::Impl::Apply(const TimerFired& timer) {
+  const TimerKind kind = Context::KindOf(timer);
+  if (kind == TimerKind::kListPoll)
+    return list_polling_.Poll();
+  Request* request = requests_.Find(Context::RequestOf(timer));
+  if (request == nullptr)
+    return;
+  if (kind == TimerKind::kAnswerOverdue)
+    return unresponsive_workers_.CheckAttempts(request);
+  if (kind == TimerKind::kDeadline && !request->streaming && context_.now() >= request->deadline)
+    Finish(request);
+}
+
+// ---- Workers ----
+
+// Where only probes bring load reports: one for each arrival, as a probe's price is the same whatever the
+// job's size; a quarter of them to any zone.
+void Dispatcher::Impl::ProbeForReport() {
+  const bool any_zone = context_.random().Draw(4) == 0;
+  const WorkerPool& pool = any_zone ? fleet_.All(-1) : fleet_.InZone(-1, fleet_.home());
+  const Settings& settings = context_.settings();
+  if (!settings.probes || settings.reports != Settings::Reports::kProbesOnly || pool.empty())
+    return;
+  const int index = pool[context_.random().Draw(pool.size())];
+  context_.Emit(Probe{fleet_.worker(index).name});
+}
+
+void Dispatcher::Impl::Apply(const ProbeDone& probe) {
+  const int index = fleet_.Find(probe.worker);
+  if (index == kNoWorker || probe.outcome != Outcome::kServed)
+    return;
+  estimates_.RecordReport(index, probe.report);
+  // It answers others' jobs: so what this node sent waits in a queue.
+  if (probe.report.served_per_s.value_or(0.0) > 0.0)
+    fleet_.worker(index).answered_at = context_.now();
+}
+
+void Dispatcher::Impl::Apply(const WorkerList& list) {
+  list_polling_.RecordList(list.form);
+  if (list.form == WorkerList::Form::kFailed)
+    return;
+  fleet_.Apply(list);
+  slow_start_.UpdateWorkers();
+}
+
+Dispatcher::Dispatcher(Settings settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
+Dispatcher::~Dispatcher() = default;
+Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
+Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
+
+void Dispatcher::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
+  impl_->Handle(now, event, actions);
+}
+bool Dispatcher::Avoids(const std::string& worker) const { return impl_->Avoids(worker); }
+
+}  // namespace aldersill::dispatch
--- /dev/null
+++ b/src/dispatch/key_popularity.h
@@ -0,0 +1,40 @@
+// Estimates what share of the recent requests carries a data key. Used to choose on how many workers a key's
+// data is kept (worker_selection.h).
+#ifndef ALDERSILL_SRC_DISPATCH_KEY_POPULARITY_H_
+#define ALDERSILL_SRC_DISPATCH_KEY_POPULARITY_H_
+
+#include <cstdint>
+#include <vector>
+
+#include "dispatch/random.h"
+
+namespace aldersill::dispatch {
+
+// Counts per hash cell: keys share cells, so a share is accurate to about 1 / kCells. Counts are halved now
+// and then so that old requests lose weight.
+class KeyPopularity {
+ public:
+  void Record(std::uint64_t key) {
+    ++cells_[Mix(key) % kCells];
+    if (++total_ < kCells * 2)
+      return;
+    total_ = 0;
+    for (int& cell : cells_)
+      total_ += cell /= 2;
+  }
+  // From 0 to 1.
+  double ShareOf(std::uint64_t key) const {
+    // As if some other keys had been seen before, or the first few counts would give large shares.
+    return static_cast<double>(cells_[Mix(key) % kCells]) / (total_ + kPriorTotal);
+  }
+
+ private:
+  static constexpr int kCells = 4096;
+  static constexpr int kPriorTotal = kCells / 16;
+  std::vector<int> cells_ = std::vector<int>(kCells);
+  int total_ = 0;
+};
+
+}  // namespace aldersill::dispatch
+
+#endif  // ALDERSILL_SRC_DISPATCH_KEY_POPULARITY_H_
--- a/src/dispatch/random.h
+++ b/src/dispatch/random.h
@@ -1,18 +1,19 @@
-// A seeded source of random draws that are alike on every platform.
+// A seeded source of random draws that are alike on every platform, and a hash that is.
 #ifndef ALDERSILL_SRC_DISPATCH_RANDOM_H_
 #define ALDERSILL_SRC_DISPATCH_RANDOM_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <random>
 
 namespace aldersill::dispatch {
 
-// SplitMix64's finaliser: spreads what is alike, the same on every node.
-inline std::uint64_t Mix(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+// SplitMix64's finaliser: spreads similar values evenly, the same on every node.
+inline std::uint64_t Mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15ULL;
+  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
+  return value ^ (value >> 31);
 }
 
 class Random {
@@ -20,7 +21,7 @@
   explicit Random(std::uint64_t seed) : engine_(seed) {}
   // In [0, 1).
   double Uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
-  // In [0, below), or 0 if there is no choice.
+  // In [0, below); 0 without a draw if there is no choice.
   int Draw(std::size_t below) { return below > 1 ? static_cast<int>(engine_() % below) : 0; }
 
  private:
--- /dev/null
+++ b/src/dispatch/retry_policy.h
@@ -0,0 +1,23 @@
+// Decides whether a further attempt of a request may start, and what its final answer may promise.
+#ifndef ALDERSILL_SRC_DISPATCH_RETRY_POLICY_H_
+#define ALDERSILL_SRC_DISPATCH_RETRY_POLICY_H_
+
+#include "aldersill/dispatch/dispatcher.h"
+#include "dispatch/request.h"
+
+namespace aldersill::dispatch {
+
+// Until when a further attempt is harmless whatever became of the earlier ones; 0: never. Before the first
+// attempt it is the deadline.
+Micros LatestAttemptStart(const Settings& settings, const Request& request);
+
+inline bool MayStartAttempt(const Settings& settings, const Request& request, Micros now) {
+  return now < LatestAttemptStart(settings, request);
+}
+
+// Whether the request may be rejected, which promises that it may be tried elsewhere, rather than failed.
+bool IsRejectionSafe(const Settings& settings, const Request& request);
+
+}  // namespace aldersill::dispatch
+
+#endif  // ALDERSILL_SRC_DISPATCH_RETRY_POLICY_H_
--- a/src/dispatch/settings.cpp
+++ b/src/dispatch/settings.cpp
@@ -20,51 +20,76 @@
   Require(std::isfinite(value) && value >= 0.0, setting, "must be finite and not negative");
 }
 
-void ValidateClass(const ClassSettings& c, std::size_t kinds, const std::string& at) {
-  Require(c.target > 0, at + "target", "must be positive");
-  Require(c.deadline > 0, at + "deadline", "must be positive");
-  RequireNotNegative(c.stretch, at + "stretch");
-  RequireNotNegative(c.priority_weight, at + "worth");
-  RequireFraction(c.late_priority_weight, at + "late_worth");
-  Require(c.window >= 0, at + "window", "must not be negative");
-  Require(c.repeat != Repeat::kKeyed || c.window > 0, at + "window",
+void ValidateClass(const ClassSettings& job_class, std::size_t kinds, const std::string& prefix) {
+  Require(job_class.target > 0, prefix + "target", "must be positive");
+  Require(job_class.deadline > 0, prefix + "deadline", "must be positive");
+  RequireNotNegative(job_class.stretch, prefix + "stretch");
+  RequireNotNegative(job_class.priority_weight, prefix + "worth");
+  RequireFraction(job_class.late_priority_weight, prefix + "late_worth");
+  Require(job_class.window >= 0, prefix + "window", "must not be negative");
+  Require(job_class.repeat != Repeat::kKeyed || job_class.window > 0, prefix + "window",
           "must be positive where repeats are keyed");
-  Require(c.kind >= -1 && c.kind < static_cast<int>(kinds), at + "kind", "names no worker kind");
+  Require(job_class.kind >= -1 && job_class.kind < static_cast<int>(kinds), prefix + "kind",
+          "names no worker kind");
 }
 
-}  // namespace
+void ValidateClasses(const Settings& settings) {
+  Require(!settings.classes.empty(), "classes", "must name at least one class");
+  for (std::size_t i = 0; i < settings.classes.size(); ++i)
+    ValidateClass(settings.classes[i], settings.kinds.size(), "classes[" + std::to_string(i) + "].");
+}
 
-Settings Checked(Settings s) {
-  Require(!s.classes.empty(), "classes", "must name at least one class");
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    ValidateClass(s.classes[i], s.kinds.size(), "classes[" + std::to_string(i) + "].");
-  }
-  double shares = s.tenants.empty() ? 1.0 : 0.0;
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    const std::string at = "tenants[" + std::to_string(i) + "].";
-    RequireNotNegative(s.tenants[i].share, at + "share");
-    if (s.tenants[i].quota_per_s)
-      RequireNotNegative(*s.tenants[i].quota_per_s, at + "quota_per_s");
-    shares += s.tenants[i].share;
+// Returns the sum of the shares.
+double ValidateTenants(const Settings& settings) {
+  double shares = settings.tenants.empty() ? 1.0 : 0.0;
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+    const std::string prefix = "tenants[" + std::to_string(i) + "].";
+    const TenantSettings& tenant = settings.tenants[i];
+    RequireNotNegative(tenant.share, prefix + "share");
+    if (tenant.quota_per_s)
+      RequireNotNegative(*tenant.quota_per_s, prefix + "quota_per_s");
+    shares += tenant.share;
   }
   Require(shares > 0.0, "tenants", "must hold a share between them");
-  Require(s.nodes >= 1, "nodes", "must be at least 1");
-  Require(s.max_attempts >= 1, "max_attempts", "must be at least 1");
-  RequireFraction(s.over_share_priority_weight, "over_share_worth");
-  Require(s.progress >= 0, "progress", "must not be negative");
-  Require(s.max_retry_after >= 0, "max_retry_after", "must not be negative");
-  Require(s.answer_slack >= 0, "answer_slack", "must not be negative");
-  Require(s.drain_grace >= 0, "drain_grace", "must not be negative");
-  Require(s.must_ask_in > 0, "must_ask_in", "must be positive");
-  Require(std::isfinite(s.overload_factor) && s.overload_factor > 0.0, "overload_factor", "must be positive");
-  Require(s.fall > 0, "fall", "must be positive");
-  RequireFraction(s.cold_share, "cold_share");
-  Require(s.warm_after >= 0, "warm_after", "must not be negative");
-  RequireNotNegative(s.price_cross_zone, "price_cross_zone");
-  RequireNotNegative(s.price_probe, "price_probe");
-  for (TenantSettings& tenant : s.tenants)
+  return shares;
+}
+
+void ValidateService(const Settings& settings) {
+  Require(settings.nodes >= 1, "nodes", "must be at least 1");
+  Require(settings.max_attempts >= 1, "max_attempts", "must be at least 1");
+  RequireFraction(settings.over_share_priority_weight, "over_share_worth");
+  Require(settings.progress >= 0, "progress", "must not be negative");
+  Require(settings.max_retry_after >= 0, "max_retry_after", "must not be negative");
+  Require(settings.answer_slack >= 0, "answer_slack", "must not be negative");
+  Require(settings.drain_grace >= 0, "drain_grace", "must not be negative");
+  Require(settings.must_ask_in > 0, "must_ask_in", "must be positive");
+  Require(std::isfinite(settings.overload_factor) && settings.overload_factor > 0.0, "overload_factor",
+          "must be positive");
+  Require(settings.fall > 0, "fall", "must be positive");
+  RequireFraction(settings.cold_share, "cold_share");
+  Require(settings.warm_after >= 0, "warm_after", "must not be negative");
+  RequireNotNegative(settings.price_cross_zone, "price_cross_zone");
+  RequireNotNegative(settings.price_probe, "price_probe");
+}
+
+}  // namespace
+
+Settings ValidatedSettings(Settings settings) {
+  ValidateClasses(settings);
+  const double shares = ValidateTenants(settings);
+  ValidateService(settings);
+  for (TenantSettings& tenant : settings.tenants)
     tenant.share /= shares;
-  return s;
+  return settings;
+}
+
+double NodeQuota(const Settings& settings) {
+  double quota = 0.0;
+  for (const TenantSettings& tenant : settings.tenants) {
+    if (tenant.quota_per_s)
+      quota += *tenant.quota_per_s / settings.nodes;
+  }
+  return quota;
 }
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/settings.h
+++ b/src/dispatch/settings.h
@@ -1,3 +1,4 @@
+// Validation of a dispatcher's settings.
 #ifndef ALDERSILL_SRC_DISPATCH_SETTINGS_H_
 #define ALDERSILL_SRC_DISPATCH_SETTINGS_H_
 
@@ -6,8 +7,11 @@
 namespace aldersill::dispatch {
 
 // Returns the settings with the tenants' shares scaled to sum to one; throws std::invalid_argument naming the
-// first that makes no sense.
-Settings Checked(Settings settings);
+// first setting that makes no sense.
+Settings ValidatedSettings(Settings settings);
+
+// This node's even part of the tenants' quotas in requests a second; 0 where no tenant has one.
+double NodeQuota(const Settings& settings);
 
 }  // namespace aldersill::dispatch
 
--- /dev/null
+++ b/src/dispatch/unresponsive_workers.cpp
@@ -0,0 +1,73 @@
+#include "dispatch/unresponsive_workers.h"
+
+#include <algorithm>
+
+#include "dispatch/cancellation.h"
+
+namespace aldersill::dispatch {
+namespace {
+
+constexpr double kTimeoutFactor = 1.5;  // times what a late job takes
+constexpr Micros kProbeTimeout = 300'000;
+constexpr Micros kTimerTolerance = 1000;  // timers may fire this early
+
+}  // namespace
+
+// How long the answer to a job may take, in microseconds, before the worker's silence means something.
+double UnresponsiveWorkers::AnswerTimeout(const Request& request) const {
+  return kTimeoutFactor * (run_times_.StartAllowance(request.job_class) + run_times_.Mean(request.job_class));
+}
+
+void UnresponsiveWorkers::WatchAttempt(const Request& request) {
+  context_.StartTimer(static_cast<Micros>(AnswerTimeout(request)), TimerKind::kAnswerOverdue, request.id);
+}
+
+void UnresponsiveWorkers::CheckAttempts(Request* request) {
+  for (std::size_t i = 0; i < request->attempts.size() && !request->ended; ++i) {
+    const Attempt& attempt = request->attempts[i];
+    if (attempt.open && !attempt.cancelled && attempt.started == 0)
+      CheckAttempt(request, i);
+  }
+}
+
+void UnresponsiveWorkers::CheckAttempt(Request* request, std::size_t attempt_number) {
+  const Attempt& attempt = request->attempts[attempt_number];
+  Worker& worker = fleet_.worker(attempt.worker);
+  const double timeout = AnswerTimeout(*request);
+  const Micros waited = context_.now() - attempt.sent;
+  const Micros silent = context_.now() - std::max(attempt.sent, worker.answered_at);
+  if (waited + kTimerTolerance < timeout || silent + kTimerTolerance < timeout) {
+    context_.StartTimer(static_cast<Micros>(timeout) - std::min(waited, silent), TimerKind::kAnswerOverdue,
+                        request->id);
+    return;
+  }
+  if (context_.settings().probes && AwaitsProbe(&worker, timeout)) {
+    context_.StartTimer(kProbeTimeout - (context_.now() - worker.probed_at), TimerKind::kAnswerOverdue,
+                        request->id);
+    return;
+  }
+  if (worker.ejected_until <= context_.now())
+    ejection_.Eject(&worker);
+  if (MayRunAgain(*request, waited, timeout))
+    CancelAttempt(context_, request, attempt_number);
+}
+
+// Probes the worker unless that was done of late; returns whether the probe's answer may still come.
+bool UnresponsiveWorkers::AwaitsProbe(Worker* worker, double timeout) {
+  if (worker->probed_at == 0 || context_.now() - worker->probed_at >= timeout) {
+    worker->probed_at = context_.now();
+    context_.Emit(Probe{worker->name});
+  }
+  return context_.now() - worker->probed_at + kTimerTolerance < kProbeTimeout;
+}
+
+bool UnresponsiveWorkers::MayRunAgain(const Request& request, Micros waited, double timeout) const {
+  const Settings& settings = context_.settings();
+  const ClassSettings& job_class = settings.classes[request.job_class];
+  const bool harmless = job_class.repeat == Repeat::kRepeatable ||
+                        (job_class.repeat == Repeat::kKeyed && waited < job_class.window);
+  return harmless && settings.cancel && request.deadline - context_.now() > timeout / 2 &&
+         std::ssize(request.attempts) < settings.max_attempts && throttle_.CanPay(request);
+}
+
+}  // namespace aldersill::dispatch
