--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -1,7 +1,7 @@
-// toy_platform PORT: discovery at PORT, and two workers that take 300 ms for each job, until SIGINT or SIGTERM.
-#include <signal.h>
-
+// toy_platform PORT: discovery at PORT, and two workers that take 300 ms for each job, until SIGINT or
+// SIGTERM.
 #include <chrono>
+#include <csignal>
 #include <cstdio>
 #include <exception>
 #include <stdexcept>
--- a/tools/faktory_standin.cpp
+++ b/tools/faktory_standin.cpp
@@ -1,43 +1,55 @@
 // faktory_standin: pushes one client's job to a running daemon, or is a worker of one slot.
 //   faktory_standin push PORT JOBTYPE JID [TENANT [DEADLINE_MS]]
 //   faktory_standin work PORT WID JOBS [MS_EACH]
+// Ends with 0, with 1 if the daemon refused the job or the connection failed, with 2 for wrong arguments.
 #include <chrono>
+#include <cstdint>
 #include <cstdio>
 #include <exception>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <thread>
+#include <vector>
 
 #include "stand_ins.h"
 
 namespace {
 
-int Push(std::uint16_t port, int argc, char** argv) {
-  nlohmann::json job = {{"jid", argv[4]}, {"jobtype", argv[3]}, {"args", nlohmann::json::array()}};
-  if (argc > 5)
-    job["custom"]["tenant"] = argv[5];
-  if (argc > 6)
-    job["custom"]["deadline_ms"] = std::stoi(argv[6]);
-  aldersill::tools::FaktorySession session(port);
+using aldersill::tools::FaktorySession;
+using Arguments = std::vector<std::string>;
+
+constexpr std::size_t kFewestArguments = 4;
+constexpr int kDefaultJobMs = 100;
+
+std::uint16_t ParsePort(const std::string& text) { return static_cast<std::uint16_t>(std::stoi(text)); }
+
+// push PORT JOBTYPE JID [TENANT [DEADLINE_MS]]
+int Push(const Arguments& arguments) {
+  nlohmann::json job = {{"jid", arguments[3]}, {"jobtype", arguments[2]}, {"args", nlohmann::json::array()}};
+  if (arguments.size() > 4)
+    job["custom"]["tenant"] = arguments[4];
+  if (arguments.size() > 5)
+    job["custom"]["deadline_ms"] = std::stoi(arguments[5]);
+  FaktorySession session(ParsePort(arguments[1]));
   const std::string reply = session.SendCommand("PUSH " + job.dump()).value_or("null");
   std::printf("%s\n", reply.c_str());
   return reply == "+OK" ? 0 : 1;
 }
 
-int Work(std::uint16_t port, int argc, char** argv) {
-  const int jobs = std::stoi(argv[4]);
-  const int each = argc > 5 ? std::stoi(argv[5]) : 100;
-  aldersill::tools::FaktorySession session(port, argv[3]);
+// work PORT WID JOBS [MS_EACH]
+int Work(const Arguments& arguments) {
+  const int jobs = std::stoi(arguments[3]);
+  const std::chrono::milliseconds job_time(arguments.size() > 4 ? std::stoi(arguments[4]) : kDefaultJobMs);
+  FaktorySession session(ParsePort(arguments[1]), arguments[2]);
   for (int done = 0; done < jobs;) {
     const auto fetched = session.SendCommand("FETCH default");
     if (!fetched)
       continue;
     std::printf("%s\n", fetched->c_str());
-    std::this_thread::sleep_for(std::chrono::milliseconds(each));
-    const nlohmann::json job = nlohmann::json::parse(*fetched);
-    std::printf(
-        "%s\n",
-        session.SendCommand("ACK " + nlohmann::json{{"jid", job.at("jid")}}.dump()).value_or("null").c_str());
+    std::this_thread::sleep_for(job_time);
+    const nlohmann::json acknowledgement = {{"jid", nlohmann::json::parse(*fetched).at("jid")}};
+    const std::string reply = session.SendCommand("ACK " + acknowledgement.dump()).value_or("null");
+    std::printf("%s\n", reply.c_str());
     ++done;
   }
   return 0;
@@ -46,14 +58,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "";
+  const Arguments arguments(argv + 1, argv + argc);
   try {
-    if (what == "push" && argc >= 5)
-      return Push(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
-    if (what == "work" && argc >= 5)
-      return Work(static_cast<std::uint16_t>(std::stoi(argv[2])), argc, argv);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "faktory_standin: %s\n", e.what());
+    if (arguments.size() >= kFewestArguments && arguments[0] == "push")
+      return Push(arguments);
+    if (arguments.size() >= kFewestArguments && arguments[0] == "work")
+      return Work(arguments);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "faktory_standin: %s\n", error.what());
     return 1;
   }
   std::fprintf(stderr,
