--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -94,7 +94,7 @@
   // Datagrams dropped, by why.
   const auto& dropped = sealer.dropped();
   for (std::size_t i = 0; i < dropped.size(); ++i) {
-    (*objects)[{6, 1, 2, i + 1}] = std::string(membership::Name(static_cast<membership::Dropped>(i)));
+    (*objects)[{6, 1, 2, i + 1}] = std::string(membership::Name(static_cast<membership::DropReason>(i)));
     (*objects)[{6, 1, 3, i + 1}] = snmp::Counter{dropped[i]};
   }
 }
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -86,22 +86,22 @@
   v.Millis("probe_timeout_ms", c.probe_timeout, 10, 60'000);
   v.Check(c.probe_timeout < c.probe_interval, "probe_timeout_ms", "must be less than probe_interval_ms");
   v.Whole("indirect_probes", c.indirect_probes, 0, 16);
-  v.Whole("suspicion_rounds", c.suspicion_rounds, 1, 100);
-  v.Whole("suspicion_most", c.suspicion_most, 1, 100);
+  v.Whole("suspicion_rounds", c.suspicion_min_periods, 1, 100);
+  v.Whole("suspicion_most", c.suspicion_max_multiplier, 1, 100);
   v.Whole("confirmations", c.confirmations, 0, 16);
   v.Millis("gossip_interval_ms", c.gossip_interval, 10, 60'000);
   v.Whole("gossip_fanout", c.gossip_fanout, 1, 16);
   v.Whole("gossip_burst", c.gossip_burst, 0, 256);
   v.Whole("retransmissions", c.retransmissions, 1, 32);
   v.Whole("rumor_times", c.gossip_transmissions, 1, 32);
-  v.Millis("compare_interval_ms", c.compare_interval, 100, 3'600'000);
-  v.Millis("dead_kept_ms", c.dead_kept, 1'000, 604'800'000);
-  v.Whole("health_most", c.health_most, 0, 32);
-  int datagram = static_cast<int>(c.datagram), members = static_cast<int>(c.most_members);
-  v.Whole("datagram_bytes", datagram, 512, 8'000);
+  v.Millis("compare_interval_ms", c.anti_entropy_interval, 100, 3'600'000);
+  v.Millis("dead_kept_ms", c.dead_retention, 1'000, 604'800'000);
+  v.Whole("health_most", c.max_health_score, 0, 32);
+  int packet_bytes = static_cast<int>(c.max_packet_bytes), members = static_cast<int>(c.max_members);
+  v.Whole("datagram_bytes", packet_bytes, 512, 8'000);
   v.Whole("most_members", members, 2, 100'000);
-  c.datagram = static_cast<std::size_t>(datagram);
-  c.most_members = static_cast<std::size_t>(members);
+  c.max_packet_bytes = static_cast<std::size_t>(packet_bytes);
+  c.max_members = static_cast<std::size_t>(members);
 }
 
 template <typename V>
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -124,7 +124,7 @@
       return json;
     const auto& dropped = transport_->sealer().dropped();
     for (std::size_t i = 0; i < dropped.size(); ++i)
-      json["dropped"][membership::Name(static_cast<membership::Dropped>(i))] = dropped[i];
+      json["dropped"][membership::Name(static_cast<membership::DropReason>(i))] = dropped[i];
     return json;
   }
   void RegisterSnmpObjects() {
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -7,91 +7,86 @@
 
 constexpr std::uint32_t kVersion = 1;
 
-void Put(MessagePacker& out, const Update& u) {
+void Pack(MessagePacker& out, const Update& update) {
   out.pack_array(7);
-  out.pack(u.name), out.pack(u.address), out.pack(u.incarnation.epoch), out.pack(u.incarnation.turn);
-  out.pack(static_cast<std::uint8_t>(u.state)), out.pack(u.weight), out.pack(u.accuser);
+  out.pack(update.name), out.pack(update.address), out.pack(update.incarnation.epoch),
+      out.pack(update.incarnation.turn);
+  out.pack(static_cast<std::uint8_t>(update.state)), out.pack(update.weight), out.pack(update.accuser);
 }
 
-void Put(MessagePacker& out, const GossipMessage& r) {
+void Pack(MessagePacker& out, const GossipMessage& message) {
   out.pack_array(2);
-  out.pack(r.key), out.pack(r.body);
+  out.pack(message.key), out.pack(message.body);
 }
 
 template <typename T>
-void PutAll(MessagePacker& out, const std::vector<T>& items) {
+void PackAll(MessagePacker& out, const std::vector<T>& items) {
   out.pack_array(static_cast<std::uint32_t>(items.size()));
   for (const T& item : items)
-    Put(out, item);
+    Pack(out, item);
 }
 
-void PutFields(MessagePacker& out, const Ping& m) {
+void PackFields(MessagePacker& out, const Ping& message) {
   out.pack_array(3);
-  out.pack(m.number), out.pack(m.target), out.pack(m.epoch);
+  out.pack(message.number), out.pack(message.target), out.pack(message.epoch);
 }
-void PutFields(MessagePacker& out, const IndirectPing& m) {
+void PackFields(MessagePacker& out, const IndirectPing& message) {
   out.pack_array(4);
-  out.pack(m.number), out.pack(m.target), out.pack(m.address), out.pack(m.epoch);
+  out.pack(message.number), out.pack(message.target), out.pack(message.address), out.pack(message.epoch);
 }
-void PutFields(MessagePacker& out, const Ack& m) {
+void PackFields(MessagePacker& out, const Ack& message) {
   out.pack_array(1);
-  out.pack(m.number);
+  out.pack(message.number);
 }
-void PutFields(MessagePacker& out, const NegativeAck& m) {
+void PackFields(MessagePacker& out, const NegativeAck& message) {
   out.pack_array(1);
-  out.pack(m.number);
+  out.pack(message.number);
 }
-void PutFields(MessagePacker& out, const Gossip&) { out.pack_array(0); }
-void PutFields(MessagePacker& out, const Compare& m) {
+void PackFields(MessagePacker& out, const Gossip&) { out.pack_array(0); }
+void PackFields(MessagePacker& out, const ViewDigest& message) {
   out.pack_array(1);
-  out.pack(m.digest);
+  out.pack(message.digest);
 }
-void PutFields(MessagePacker& out, const Table& m) {
+void PackFields(MessagePacker& out, const FullState& message) {
   out.pack_array(2);
-  PutAll(out, m.members), out.pack(m.reply);
+  PackAll(out, message.members), out.pack(message.reply);
 }
-void PutFields(MessagePacker& out, const Direct& m) {
+void PackFields(MessagePacker& out, const DirectMessage& message) {
   out.pack_array(1);
-  out.pack(m.body);
+  out.pack(message.body);
 }
 
 Update TakeUpdate(MessageFields& in) {
-  Update u;
-  u.name = in.Name();
-  u.address = in.Name();
-  u.incarnation.epoch = in.Number53();
-  u.incarnation.turn = in.Take<std::uint32_t>();
+  Update update;
+  update.name = in.Name();
+  update.address = in.Name();
+  update.incarnation.epoch = in.Number53();
+  update.incarnation.turn = in.Take<std::uint32_t>();
   const auto state = in.Take<std::uint8_t>();
   if (state > static_cast<std::uint8_t>(State::kLeft))
     throw std::runtime_error("not a state");
-  u.state = static_cast<State>(state);
-  u.weight = in.Take<std::uint32_t>();
-  u.accuser = in.Take<std::string>();
-  if (u.accuser.size() > kMostMessageName)
+  update.state = static_cast<State>(state);
+  update.weight = in.Take<std::uint32_t>();
+  update.accuser = in.Take<std::string>();
+  if (update.accuser.size() > kMostMessageName)
     throw std::runtime_error("not a name");
-  return u;
+  return update;
 }
 
 GossipMessage TakeGossip(MessageFields& in) {
-  GossipMessage r;
-  r.key = in.Take<std::string>();
-  r.body = in.Take<std::string>();
-  return r;
+  GossipMessage message;
+  message.key = in.Take<std::string>();
+  message.body = in.Take<std::string>();
+  return message;
 }
 
+// Braced initializers are evaluated in order: the order of the fields in the packet.
 Message TakeMessage(std::uint32_t kind, MessageFields in) {
   switch (kind) {
-    case 0: {
-      Ping m;
-      m.number = in.Take<std::uint32_t>(), m.target = in.Name(), m.epoch = in.Number53();
-      return m;
-    }
-    case 1: {
-      IndirectPing m;
-      m.number = in.Take<std::uint32_t>(), m.target = in.Name(), m.address = in.Name(),
-      m.epoch = in.Number53();
-      return m;
-    }
+    case 0:
+      return Ping{in.Take<std::uint32_t>(), in.Name(), in.Number53()};
+    case 1:
+      return IndirectPing{in.Take<std::uint32_t>(), in.Name(), in.Name(), in.Number53()};
     case 2:
       return Ack{in.Take<std::uint32_t>()};
     case 3:
@@ -99,14 +94,11 @@
     case 4:
       return Gossip{};
     case 5:
-      return Compare{in.Take<std::uint64_t>()};
-    case 6: {
-      Table m;
-      m.members = in.List<Update>(TakeUpdate), m.reply = in.Take<bool>();
-      return m;
-    }
+      return ViewDigest{in.Take<std::uint64_t>()};
+    case 6:
+      return FullState{in.List<Update>(TakeUpdate), in.Take<bool>()};
     case 7:
-      return Direct{in.Take<std::string>()};
+      return DirectMessage{in.Take<std::string>()};
     default:
       throw std::runtime_error("not a kind");
   }
@@ -119,9 +111,9 @@
     out.pack_array(7);
     out.pack(kVersion), out.pack(packet.from), out.pack(packet.epoch);
     out.pack(static_cast<std::uint32_t>(packet.message.index()));
-    std::visit([&](const auto& m) { PutFields(out, m); }, packet.message);
-    PutAll(out, packet.updates);
-    PutAll(out, packet.gossip);
+    std::visit([&](const auto& message) { PackFields(out, message); }, packet.message);
+    PackAll(out, packet.updates);
+    PackAll(out, packet.gossip);
   });
 }
 
--- a/src/membership/codec.h
+++ b/src/membership/codec.h
@@ -1,4 +1,4 @@
-// Packets as bytes: MessagePack, one array for each packet, version first. Decoded once, encoded once.
+// The encoding of packets: one MessagePack array for each packet, the version first.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_CODEC_H_
 #define ALDERSILL_SRC_MEMBERSHIP_CODEC_H_
 
@@ -11,8 +11,8 @@
 namespace aldersill::membership {
 
 std::string Encode(const Packet& packet);
-// Nothing for bytes that are no packet of this version, hold too much or a name or an address that none can
-// have.
+// No value for bytes that are not a packet of this version, hold too many items, or an invalid name or
+// address.
 std::optional<Packet> Decode(std::string_view bytes);
 
 }  // namespace aldersill::membership
--- a/src/membership/sealer.cpp
+++ b/src/membership/sealer.cpp
@@ -11,24 +11,29 @@
 namespace {
 
 constexpr unsigned char kFormat = 1;
+constexpr std::size_t kMaxKeys = 2;
+constexpr int kMaxKeyFileLines = 1'000;
 constexpr std::size_t kHeader = 26;
+constexpr std::size_t kSessionOffset = 2;  // also of the nonce
+constexpr std::size_t kCounterOffset = 10;
+constexpr std::size_t kTimeOffset = 18;
 constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
 static_assert(kSealOverhead == kHeader + kTag);
 static_assert(crypto_aead_xchacha20poly1305_ietf_NPUBBYTES == 24);
 static_assert(crypto_aead_xchacha20poly1305_ietf_KEYBYTES == std::tuple_size_v<Key>);
 
-// Tells keys apart without showing them.
-unsigned char IdOf(const Key& key) {
+// Tells keys apart without disclosing them.
+unsigned char KeyId(const Key& key) {
   std::array<unsigned char, 16> hash{};
   crypto_generichash(hash.data(), hash.size(), key.data(), key.size(), nullptr, 0);
   return hash[0];
 }
 
-void PutNumber(std::string* to, std::uint64_t number) {
+void AppendNumber(std::string* to, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8)
     to->push_back(static_cast<char>(number >> shift & 0xff));
 }
-std::uint64_t NumberAt(std::string_view bytes, std::size_t at) {
+std::uint64_t ReadNumber(std::string_view bytes, std::size_t at) {
   std::uint64_t number = 0;
   for (std::size_t i = 0; i < 8; ++i)
     number = number << 8 | static_cast<unsigned char>(bytes[at + i]);
@@ -40,10 +45,10 @@
 
 }  // namespace
 
-const char* Name(Dropped why) {
+const char* Name(DropReason reason) {
   constexpr const char* kNames[] = {"truncated", "tooLong",  "format",   "key",      "forged",
                                     "stale",     "replayed", "sessions", "malformed"};
-  return kNames[static_cast<std::size_t>(why)];
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 Sealer::Sealer(std::vector<Key> keys, std::uint64_t session) : keys_(std::move(keys)), session_(session) {
@@ -54,90 +59,113 @@
 void Sealer::ReplaceKeys(std::vector<Key> keys) { keys_ = std::move(keys); }
 
 std::string Sealer::Seal(Micros unix_now, std::string_view packet) {
-  std::string out{static_cast<char>(kFormat), static_cast<char>(IdOf(keys_.front()))};
-  PutNumber(&out, session_);
-  PutNumber(&out, ++counter_);
-  PutNumber(&out, static_cast<std::uint64_t>(unix_now / kMillisecond));
+  std::string out{static_cast<char>(kFormat), static_cast<char>(KeyId(keys_.front()))};
+  AppendNumber(&out, session_);
+  AppendNumber(&out, ++counter_);
+  AppendNumber(&out, static_cast<std::uint64_t>(unix_now / kMillisecond));
   out.resize(kHeader + packet.size() + kTag);
   unsigned long long length = 0;
   auto* bytes = reinterpret_cast<unsigned char*>(out.data());
   crypto_aead_xchacha20poly1305_ietf_encrypt(bytes + kHeader, &length, Bytes(packet), packet.size(), bytes,
-                                             kHeader, nullptr, bytes + 2, keys_.front().data());
+                                             kHeader, nullptr, bytes + kSessionOffset, keys_.front().data());
   return out;
 }
 
 std::optional<std::string> Sealer::Open(Micros unix_now, std::string_view datagram) {
   if (datagram.size() <= kHeader + kTag)
-    return Drop(Dropped::kTruncated);
-  if (datagram.size() > kMostDatagram)
-    return Drop(Dropped::kTooLong);
+    return Drop(DropReason::kTruncated);
+  if (datagram.size() > kMaxDatagram)
+    return Drop(DropReason::kTooLong);
   if (static_cast<unsigned char>(datagram[0]) != kFormat)
-    return Drop(Dropped::kFormat);
+    return Drop(DropReason::kFormat);
+  std::optional<std::string> packet = Decrypt(datagram);
+  if (!packet)
+    return std::nullopt;
+  const std::uint64_t unix_millis =
+      std::min<std::uint64_t>(ReadNumber(datagram, kTimeOffset), INT64_MAX / kMillisecond);
+  const Micros sealed_at = static_cast<Micros>(unix_millis) * kMillisecond;
+  if (sealed_at < unix_now - kClockWindow || sealed_at > unix_now + kClockWindow)
+    return Drop(DropReason::kStale);
+  Session* session = FindOrAddSession(unix_now, ReadNumber(datagram, kSessionOffset));
+  if (session == nullptr)
+    return Drop(DropReason::kTooManySessions);
+  if (!MarkSeen(session, ReadNumber(datagram, kCounterOffset)))
+    return Drop(DropReason::kReplayed);
+  session->last_received = unix_now;
+  return packet;
+}
+
+std::optional<std::string> Sealer::Decrypt(std::string_view datagram) {
   std::string packet(datagram.size() - kHeader - kTag, '\0');
-  bool known = false, authentic = false;
+  bool known_key = false;
   for (const Key& key : keys_) {
-    if (IdOf(key) != static_cast<unsigned char>(datagram[1]))
+    if (KeyId(key) != static_cast<unsigned char>(datagram[1]))
       continue;
-    known = true;
+    known_key = true;
     unsigned long long length = 0;
-    authentic = crypto_aead_xchacha20poly1305_ietf_decrypt(reinterpret_cast<unsigned char*>(packet.data()),
-                                                           &length, nullptr, Bytes(datagram) + kHeader,
-                                                           datagram.size() - kHeader, Bytes(datagram),
-                                                           kHeader, Bytes(datagram) + 2, key.data()) == 0;
-    if (authentic)
-      break;
+    const int result = crypto_aead_xchacha20poly1305_ietf_decrypt(
+        reinterpret_cast<unsigned char*>(packet.data()), &length, nullptr, Bytes(datagram) + kHeader,
+        datagram.size() - kHeader, Bytes(datagram), kHeader, Bytes(datagram) + kSessionOffset, key.data());
+    if (result == 0)
+      return packet;
   }
-  if (!known)
-    return Drop(Dropped::kKey);
-  if (!authentic)
-    return Drop(Dropped::kForged);
-  const auto sealed_at =
-      static_cast<Micros>(std::min<std::uint64_t>(NumberAt(datagram, 18), INT64_MAX / 1'000)) * kMillisecond;
-  if (sealed_at < unix_now - kClockWindow || sealed_at > unix_now + kClockWindow)
-    return Drop(Dropped::kStale);
-  Dropped why = Dropped::kReplayed;
-  if (!Fresh(unix_now, NumberAt(datagram, 2), NumberAt(datagram, 10), &why))
-    return Drop(why);
-  return packet;
+  return Drop(known_key ? DropReason::kForged : DropReason::kKey);
 }
 
-std::optional<std::string> Sealer::Drop(Dropped why) {
-  ++dropped_[static_cast<std::size_t>(why)];
+std::optional<std::string> Sealer::Drop(DropReason reason) {
+  ++dropped_[static_cast<std::size_t>(reason)];
   return std::nullopt;
 }
 
+Sealer::Session* Sealer::FindOrAddSession(Micros now, std::uint64_t id) {
+  if (const auto found = sessions_.find(id); found != sessions_.end())
+    return &found->second;
+  // What a forgotten session sealed is stale by now, so it cannot be replayed.
+  if (sessions_.size() >= kMaxSessions)
+    std::erase_if(sessions_,
+                  [now](const auto& item) { return now - item.second.last_received > 3 * kClockWindow; });
+  if (sessions_.size() >= kMaxSessions)
+    return nullptr;
+  return &sessions_[id];
+}
+
 // RFC 4303's sliding window, section 3.4.3, one for each sender's session.
-bool Sealer::Fresh(Micros now, std::uint64_t number, std::uint64_t counter, Dropped* why) {
-  auto found = sessions_.find(number);
-  if (found == sessions_.end()) {
-    if (sessions_.size() >= kMostSessions) {
-      // What a forgotten session sealed is stale by now, so forgetting opens no door.
-      std::erase_if(sessions_, [now](const auto& s) { return now - s.second.last > 3 * kClockWindow; });
-      if (sessions_.size() >= kMostSessions) {
-        *why = Dropped::kSessions;
-        return false;
-      }
-    }
-    found = sessions_.emplace(number, Session{counter, {}, now}).first;
-    found->second.seen.set(0);
-    return true;
-  }
-  Session& s = found->second;
-  if (counter > s.highest) {
-    const std::uint64_t ahead = counter - s.highest;
-    s.seen = ahead < kWindow ? s.seen << ahead : std::bitset<kWindow>();
-    s.seen.set(0);
-    s.highest = counter;
-  } else {
-    const std::uint64_t behind = s.highest - counter;
-    if (behind >= kWindow || s.seen.test(behind))
-      return false;
-    s.seen.set(behind);
+bool Sealer::MarkSeen(Session* session, std::uint64_t counter) {
+  if (session->seen.none())
+    session->highest = counter;
+  if (counter > session->highest) {
+    const std::uint64_t ahead = counter - session->highest;
+    session->seen = ahead < kReplayWindow ? session->seen << ahead : std::bitset<kReplayWindow>();
+    session->highest = counter;
   }
-  s.last = now;
+  const std::uint64_t behind = session->highest - counter;
+  if (behind >= kReplayWindow || session->seen.test(behind))
+    return false;
+  session->seen.set(behind);
   return true;
 }
 
+namespace {
+
+// The text of a line of the key file: without its comment and the space around that.
+std::string_view WithoutComment(std::string_view line) {
+  line = line.substr(0, line.find('#'));
+  return line.substr(0, line.find_last_not_of(" \t\r") + 1);
+}
+
+std::optional<Key> ParseKey(std::string_view digits) {
+  Key key;
+  std::size_t length = 0;
+  const char* end = nullptr;
+  const int result =
+      sodium_hex2bin(key.data(), key.size(), digits.data(), digits.size(), nullptr, &length, &end);
+  if (result != 0 || length != key.size() || end != digits.data() + digits.size())
+    return std::nullopt;
+  return key;
+}
+
+}  // namespace
+
 std::vector<Key> ReadKeys(const std::string& path) {
   struct stat status {};
   if (stat(path.c_str(), &status) != 0)
@@ -149,22 +177,18 @@
     throw std::runtime_error(path + ":1: the key file cannot be read");
   std::vector<Key> keys;
   int number = 0;
-  for (std::string line; std::getline(file, line) && number < 1'000;) {
+  for (std::string line; std::getline(file, line) && number < kMaxKeyFileLines;) {
     ++number;
-    line.erase(std::min(line.find('#'), line.size()));
-    line.erase(line.find_last_not_of(" \t\r") + 1);
-    if (line.empty())
+    const std::string_view digits = WithoutComment(line);
+    if (digits.empty())
       continue;
-    Key key;
-    std::size_t length = 0;
-    const char* end = nullptr;
-    const int bad = sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &length, &end);
     const std::string where = path + ":" + std::to_string(number) + ": ";
-    if (bad != 0 || length != key.size() || end != line.data() + line.size())
+    const std::optional<Key> key = ParseKey(digits);
+    if (!key)
       throw std::runtime_error(where + "a key must be 64 hex digits");
-    if (keys.size() == 2)
+    if (keys.size() == kMaxKeys)
       throw std::runtime_error(where + "at most two keys are in force at a time");
-    keys.push_back(key);
+    keys.push_back(*key);
   }
   if (keys.empty())
     throw std::runtime_error(path + ":1: the key file holds no key");
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -18,8 +18,8 @@
 namespace aldersill::membership {
 namespace {
 
-// Datagrams taken in one turn of the loop: jobs are not to wait for a flood.
-constexpr int kTurn = 64;
+// Datagrams received in one turn of the loop: other events must not wait for a flood.
+constexpr int kMaxDatagramsPerTurn = 64;
 
 std::uint64_t NewSession() {
   if (sodium_init() < 0)
@@ -32,8 +32,8 @@
 }  // namespace
 
 Transport::Transport(event_base* base, const Endpoint& listen, std::vector<Key> keys,
-                     std::function<Micros()> now, Came came)
-    : now_(std::move(now)), came_(std::move(came)), sealer_(std::move(keys), NewSession()) {
+                     std::function<Micros()> now, PacketHandler handler)
+    : now_(std::move(now)), handler_(std::move(handler)), sealer_(std::move(keys), NewSession()) {
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const sockaddr_in address = ToSockaddr(listen);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
@@ -70,34 +70,39 @@
   counters_.sent_bytes += sealed.size();
 }
 
-void Transport::OnReadable(evutil_socket_t fd, short, void* self) {
+void Transport::OnReadable(evutil_socket_t, short, void* self) {
   auto* transport = static_cast<Transport*>(self);
-  std::array<char, kMostDatagram + 1> bytes;  // one more, so that longer ones are seen to be
-  for (int turn = 0; turn < kTurn; ++turn) {
-    sockaddr_in peer{};
-    socklen_t size = sizeof(peer);
-    const ssize_t got =
-        recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&peer), &size);
-    if (got < 0) {
-      if (errno == EAGAIN || errno == EWOULDBLOCK)
-        return;
-      continue;  // an earlier datagram met a closed port: told once, and no more than that
-    }
-    ++transport->counters_.received;
-    transport->counters_.received_bytes += static_cast<std::uint64_t>(got);
-    const auto opened = transport->sealer_.Open(
-        transport->now_(), std::string_view(bytes.data(), static_cast<std::size_t>(got)));
-    if (!opened)
-      continue;
-    std::optional<Packet> packet = Decode(*opened);
-    if (!packet) {
-      transport->sealer_.CountMalformed();
-      continue;
-    }
-    char host[INET_ADDRSTRLEN];
-    inet_ntop(AF_INET, &peer.sin_addr, host, sizeof(host));
-    transport->came_(ToText({host, ntohs(peer.sin_port)}), std::move(*packet));
+  for (int received = 0; received < kMaxDatagramsPerTurn; ++received) {
+    if (!transport->ReceiveOne())
+      return;
   }
 }
 
+bool Transport::ReceiveOne() {
+  std::array<char, kMaxDatagram + 1> bytes;  // one more byte shows that a datagram is too long
+  sockaddr_in peer{};
+  socklen_t size = sizeof(peer);
+  const ssize_t length =
+      recvfrom(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&peer), &size);
+  // Another error than an empty queue reports an earlier datagram that met a closed port: it is cleared by
+  // now.
+  if (length < 0)
+    return errno != EAGAIN && errno != EWOULDBLOCK;
+  ++counters_.received;
+  counters_.received_bytes += static_cast<std::uint64_t>(length);
+  const std::optional<std::string> opened =
+      sealer_.Open(now_(), std::string_view(bytes.data(), static_cast<std::size_t>(length)));
+  if (!opened)
+    return true;
+  std::optional<Packet> packet = Decode(*opened);
+  if (!packet) {
+    sealer_.CountMalformed();
+    return true;
+  }
+  char host[INET_ADDRSTRLEN];
+  inet_ntop(AF_INET, &peer.sin_addr, host, sizeof(host));
+  handler_(ToText({host, ntohs(peer.sin_port)}), std::move(*packet));
+  return true;
+}
+
 }  // namespace aldersill::membership
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -1,5 +1,5 @@
-// Membership's datagrams over UDP on the event loop: seals and opens, encodes and decodes, decides nothing.
-// The loop's thread only. One descriptor; what cannot be sent at once is lost, as the network may lose it.
+// Sends and receives membership's packets over UDP on the event loop, encoded and sealed. Used by the loop's
+// thread alone. It owns one descriptor; a datagram that cannot be sent at once is dropped.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_TRANSPORT_H_
 #define ALDERSILL_SRC_MEMBERSHIP_TRANSPORT_H_
 
@@ -17,15 +17,15 @@
 
 struct TransportCounters {
   std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
-  std::uint64_t unsent = 0;  // an address that is none, or a socket without room
+  std::uint64_t unsent = 0;  // invalid address or full socket buffer
 };
 
 class Transport {
  public:
-  using Came = std::function<void(std::string address, Packet packet)>;
-  // `now` reads as Unix time. Throws std::runtime_error that names the field if it cannot listen.
+  using PacketHandler = std::function<void(std::string address, Packet packet)>;
+  // `now` returns Unix time. Throws std::runtime_error that names the setting if it cannot listen.
   Transport(event_base* base, const Endpoint& listen, std::vector<Key> keys, std::function<Micros()> now,
-            Came came);
+            PacketHandler handler);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
@@ -38,9 +38,11 @@
 
  private:
   static void OnReadable(evutil_socket_t fd, short what, void* self);
+  // Receives one datagram; false if none is waiting.
+  bool ReceiveOne();
 
   std::function<Micros()> now_;
-  Came came_;
+  PacketHandler handler_;
   Sealer sealer_;
   evutil_socket_t fd_ = -1;
   int port_ = 0;
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,5 +1,4 @@
-// The vocabulary of membership: what instances tell one another of themselves. Nothing here names a wire's
-// bytes, a socket or a clock.
+// The messages between members as values. Their encoding is codec.h; no type here knows a socket or a clock.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_TYPES_H_
 #define ALDERSILL_SRC_MEMBERSHIP_TYPES_H_
 
@@ -13,40 +12,43 @@
 
 namespace aldersill::membership {
 
-// Which life of an instance (its start, Unix milliseconds) and which of its own words in that life. A later
-// one always goes before an earlier one; so a restarted instance goes before its old self.
+// SWIM's incarnation number, extended by the time of the process's start so that a restarted member
+// supersedes its former process. The greater one wins.
 struct Incarnation {
-  std::uint64_t epoch = 0;
-  std::uint32_t turn = 0;
+  std::uint64_t epoch = 0;  // start of the process, Unix milliseconds
+  std::uint32_t turn = 0;   // raised by each refutation of that process
   auto operator<=>(const Incarnation&) const = default;
 };
 
 enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 
-// Something said of a member. `accuser`: who says so, where it is suspect or dead.
+// Alive and suspect members count as living: they take part until they are declared dead.
+inline bool IsLiving(State state) { return state == State::kAlive || state == State::kSuspect; }
+
+// A report of a member's state, as members exchange it.
 struct Update {
   std::string name;
   std::string address;
   Incarnation incarnation;
   State state = State::kAlive;
-  std::uint32_t weight = 100;  // its share of shared duties, in percent of the usual
-  std::string accuser;
+  std::uint32_t weight = 100;  // its portion of shared duties, in percent of the usual
+  std::string accuser;         // the member that reports it as suspect, dead or left; else empty
   bool operator==(const Update&) const = default;
 };
 
-// Something that whoever stands above membership wants all to hear. It knows itself which of two is newer.
+// An application's message to all members. Its receiver decides which of two messages is newer.
 struct GossipMessage {
-  std::string key;  // a later one of the same key takes its place in the queue
+  std::string key;  // a later message of the same key replaces it in the queue
   std::string body;
 };
 
 struct Ping {
   std::uint32_t number = 0;
   std::string target;
-  std::uint64_t epoch =
-      0;  // of the life that is asked: a restarted instance must not answer for its old self
+  std::uint64_t epoch = 0;  // of the target's process: a restarted one must not ack for its former process
 };
-struct IndirectPing {  // ask `target` on my behalf
+// Asks the receiver to ping `target` on the sender's behalf.
+struct IndirectPing {
   std::uint32_t number = 0;
   std::string target;
   std::string address;
@@ -55,29 +57,36 @@
 struct Ack {
   std::uint32_t number = 0;
 };
-struct NegativeAck {  // I am here, but the one you asked about has not answered me
+// Lifeguard: the member asked for an indirect ping is alive, but the target has not answered it.
+struct NegativeAck {
   std::uint32_t number = 0;
 };
-struct Gossip {};  // nothing but what rides along
-struct Compare {   // answered by Table where the views differ
+// Carries nothing but the piggybacked updates and gossip messages.
+struct Gossip {};
+// Anti-entropy: answered with FullState where the receiver's view differs.
+struct ViewDigest {
   std::uint64_t digest = 0;
 };
-struct Table {  // a part of a whole view; `reply`: the other's is wanted in return
+// One part of a member's view; `reply`: the sender wants the receiver's view in return.
+struct FullState {
   std::vector<Update> members;
   bool reply = false;
 };
-struct Direct {  // from one to one, for whoever stands above
+// An application's message to one member.
+struct DirectMessage {
   std::string body;
 };
-using Message = std::variant<Ping, IndirectPing, Ack, NegativeAck, Gossip, Compare, Table, Direct>;
+// The codec writes the alternative's index: the order is part of the format.
+using Message =
+    std::variant<Ping, IndirectPing, Ack, NegativeAck, Gossip, ViewDigest, FullState, DirectMessage>;
 
 // One datagram.
 struct Packet {
   std::string from;
-  std::uint64_t epoch = 0;
+  std::uint64_t epoch = 0;  // of the sender's process
   Message message;
-  std::vector<Update> updates;  // riding along
-  std::vector<GossipMessage> gossip;
+  std::vector<Update> updates;        // piggybacked
+  std::vector<GossipMessage> gossip;  // piggybacked
 };
 
 }  // namespace aldersill::membership
--- a/tests/cluster/cluster_scenario.cpp
+++ b/tests/cluster/cluster_scenario.cpp
@@ -22,8 +22,8 @@
 // the longest suspicion must time out, and the gossip must travel.
 Micros OwnerlessBound(const membership::Settings& settings, int members) {
   const Micros probe = settings.probe_interval * 2;
-  const Micros suspicion = settings.suspicion_rounds * settings.probe_interval *
-                           (members - 2 < settings.confirmations ? 1 : settings.suspicion_most);
+  const Micros suspicion = settings.suspicion_min_periods * settings.probe_interval *
+                           (members - 2 < settings.confirmations ? 1 : settings.suspicion_max_multiplier);
   return (2 * members - 1) * probe + suspicion + 10 * settings.gossip_interval;
 }
 
@@ -295,7 +295,7 @@
   cluster_->SetNetwork(tools::Network{});
   Say("all faults are mended");
   const membership::Settings& settings = settings_.membership;
-  cluster_->RunUntil(cluster_->now() + OwnerlessBound(settings, members_) + 4 * settings.compare_interval);
+  cluster_->RunUntil(cluster_->now() + OwnerlessBound(settings, members_) + 4 * settings.anti_entropy_interval);
 }
 
 void ClusterScenario::CheckViews() {
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -208,31 +208,31 @@
   Bench same;
   same.Meet({"b", "c"});
   std::uint64_t digest = 0;
-  for (const auto& [to, compare] : Bench::Sent<Compare>(same.Wait(3 * kSecond)))
+  for (const auto& [to, compare] : Bench::Sent<ViewDigest>(same.Wait(3 * kSecond)))
     digest = compare.digest;
   REQUIRE(digest != 0);
-  b.Hear("b", {}, Compare{digest});
-  CHECK(Bench::Sent<Table>(b.effects_).empty());
-  b.Hear("b", {}, Compare{digest + 1});
-  const auto tables = Bench::Sent<Table>(b.effects_);
+  b.Hear("b", {}, ViewDigest{digest});
+  CHECK(Bench::Sent<FullState>(b.effects_).empty());
+  b.Hear("b", {}, ViewDigest{digest + 1});
+  const auto tables = Bench::Sent<FullState>(b.effects_);
   REQUIRE(tables.size() == 1);
   CHECK(tables.front().second.reply);
   CHECK(tables.front().second.members.size() == 3);
-  b.Hear("b", {}, Table{{Bench::Alive("d")}, true});
+  b.Hear("b", {}, FullState{{Bench::Alive("d")}, true});
   CHECK(b.core_.StateOf("d") == State::kAlive);
-  CHECK(Bench::Sent<Table>(b.effects_).size() == 1);
+  CHECK(Bench::Sent<FullState>(b.effects_).size() == 1);
 }
 
 TEST_CASE("the dead are tried again while they are remembered; the members are bounded, the dead go first") {
   Settings s;
-  s.most_members = 4;
-  s.dead_kept = 60 * kSecond;
+  s.max_members = 4;
+  s.dead_retention = 60 * kSecond;
   Bench b(s);
   b.Meet({"b", "c"});
   b.Hear("c", {Bench::Say(State::kDead, "b", "c")});
   bool tried = false;
   for (int i = 0; i < 30 && !tried; ++i) {
-    for (const auto& [to, m] : Bench::Sent<Compare>(b.Wait(kSecond)))
+    for (const auto& [to, m] : Bench::Sent<ViewDigest>(b.Wait(kSecond)))
       tried |= to == "b:1";
   }
   CHECK(tried);
@@ -244,7 +244,7 @@
 }
 
 TEST_CASE("each update rides along a bounded number of times") {
-  SpreadQueue<int> queue(2);
+  BroadcastQueue<int> queue(2);
   queue.Put("x", 1, 10);
   queue.Put("y", 2, 10);
   std::vector<int> taken;
@@ -260,11 +260,12 @@
   for (const char* key : {"a", "b", "c"})
     queue.Put(key, 0, 10);
   CHECK(queue.size() == 2);
-  CHECK(queue.given_up() == 1);
+  CHECK(queue.dropped() == 1);
 }
 
 Packet Rich() {
-  Packet p{"n1", kEpoch, Table{{Bench::Alive("n2", 3), Bench::Say(State::kDead, "n3", "n1")}, true}, {}, {}};
+  Packet p{
+      "n1", kEpoch, FullState{{Bench::Alive("n2", 3), Bench::Say(State::kDead, "n3", "n1")}, true}, {}, {}};
   p.updates = {Bench::Say(State::kSuspect, "n4", "n2", 7)};
   p.gossip = {{"w1", std::string("\x00\xff", 2)}};
   return p;
@@ -276,9 +277,9 @@
                                       Ack{3},
                                       NegativeAck{4},
                                       Gossip{},
-                                      Compare{~0ULL},
-                                      Table{{}, false},
-                                      Direct{"body"}};
+                                      ViewDigest{~0ULL},
+                                      FullState{{}, false},
+                                      DirectMessage{"body"}};
   for (const Message& message : kinds) {
     Packet p = Rich();
     p.message = message;
@@ -312,7 +313,7 @@
   CHECK(!Decode(Encode(late)));
 }
 
-std::uint64_t Count(const Sealer& sealer, Dropped why) {
+std::uint64_t Count(const Sealer& sealer, DropReason why) {
   return sealer.dropped()[static_cast<std::size_t>(why)];
 }
 
@@ -325,7 +326,7 @@
   CHECK(sealed.find("hello") == std::string::npos);
   CHECK(receiver.Open(kStart + kSecond, sealed) == "hello");
   CHECK(!receiver.Open(kStart + kSecond, sealed));
-  CHECK(Count(receiver, Dropped::kReplayed) == 1);
+  CHECK(Count(receiver, DropReason::kReplayed) == 1);
   // Each single bit counts, those of the head as well.
   const std::string next = sender.Seal(kStart, "hello");
   for (std::size_t bit = 0; bit < next.size() * 8; ++bit) {
@@ -333,19 +334,19 @@
     garbled[bit / 8] = static_cast<char>(garbled[bit / 8] ^ (1 << bit % 8));
     CHECK(!receiver.Open(kStart, garbled));
   }
-  CHECK(Count(receiver, Dropped::kForged) > 0);
-  CHECK(Count(receiver, Dropped::kFormat) == 8);
-  CHECK(Count(receiver, Dropped::kKey) > 0);
+  CHECK(Count(receiver, DropReason::kForged) > 0);
+  CHECK(Count(receiver, DropReason::kFormat) == 8);
+  CHECK(Count(receiver, DropReason::kKey) > 0);
   for (std::size_t size = 0; size < next.size(); ++size)
     CHECK(!receiver.Open(kStart, next.substr(0, size)));
-  CHECK(Count(receiver, Dropped::kTruncated) == kSealOverhead + 1);
-  CHECK(!receiver.Open(kStart, std::string(kMostDatagram + 1, '\x01')));
-  CHECK(Count(receiver, Dropped::kTooLong) == 1);
+  CHECK(Count(receiver, DropReason::kTruncated) == kSealOverhead + 1);
+  CHECK(!receiver.Open(kStart, std::string(kMaxDatagram + 1, '\x01')));
+  CHECK(Count(receiver, DropReason::kTooLong) == 1);
   CHECK(receiver.Open(kStart, next) == "hello");  // all of that has not spoiled the true one
   // Too old, or from a clock too far ahead.
   CHECK(!receiver.Open(kStart + 31 * kSecond, sender.Seal(kStart, "x")));
   CHECK(!receiver.Open(kStart - 31 * kSecond, sender.Seal(kStart, "x")));
-  CHECK(Count(receiver, Dropped::kStale) == 2);
+  CHECK(Count(receiver, DropReason::kStale) == 2);
   // A rotation: the new key is added everywhere, then goes first everywhere, then the old one goes.
   sender.ReplaceKeys({two, one});
   CHECK(receiver.Open(kStart, sender.Seal(kStart, "x")) == "x");
@@ -369,14 +370,14 @@
     for (const int i : order)
       receiver.Open(kStart, sealed[static_cast<std::size_t>(i)]);
   }
-  CHECK(Count(receiver, Dropped::kReplayed) == 600);
+  CHECK(Count(receiver, DropReason::kReplayed) == 600);
   CHECK(!receiver.Open(kStart, sealed[10]));  // far behind: it cannot be told apart from a replay
   // Sessions are bounded: those beyond are turned away until others have been silent for long.
   for (std::uint64_t session = 10; session < 10 + 4'200; ++session) {
     Sealer other({key}, session);
     receiver.Open(kStart, other.Seal(kStart, "x"));
   }
-  CHECK(Count(receiver, Dropped::kSessions) == 4'200 - 4'095);
+  CHECK(Count(receiver, DropReason::kTooManySessions) == 4'200 - 4'095);
   Sealer late({key}, 99'999);
   CHECK(receiver.Open(kStart + 100 * kSecond, late.Seal(kStart + 100 * kSecond, "x")));
 }
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -212,7 +212,7 @@
   ++sent.packets;
   sent.bytes += bytes->size();
   sent.longest = std::max(sent.longest, bytes->size());
-  if (bytes->size() > o_.settings.membership.datagram)
+  if (bytes->size() > o_.settings.membership.max_packet_bytes)
     throw std::logic_error("a packet is over its bound");
   const auto to = by_address_.find(e.address);
   if (to == by_address_.end() || cuts_.contains({i, to->second}))
