--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -32,10 +32,10 @@
   int owed = 0;       // tokens of the price that are still to be paid while it is buffered
   Micros arrived = 0;
   Micros deadline = 0;
-  std::optional<std::uint64_t> key;
-  std::vector<Attempt> attempts;  // in the order of their sends
-  bool ended = false;             // it has its final answer, or its client is gone
-  bool streaming = false;         // a part of the answer has been forwarded
+  std::optional<std::uint64_t> key{};
+  std::vector<Attempt> attempts{};  // in the order of their sends
+  bool ended = false;               // it has its final answer, or its client is gone
+  bool streaming = false;           // a part of the answer has been forwarded
 
   bool HasOpenAttempt() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.open; });
--- a/src/dispatch/token_bank.h
+++ b/src/dispatch/token_bank.h
@@ -24,7 +24,7 @@
   int tokens = 0;         // T
   int owed = 0;           // J: tokens that the buffered jobs still have to pay
   int highest_price = 1;  // of a job so far
-  std::deque<RequestId> buffered;
+  std::deque<RequestId> buffered{};
 
   // Jobs that a bank holds however slowly its tokens come. What a throttle rejects by chance depends on its
   // capacity in jobs, not in seconds: at three quarters of its tokens' rate one that holds two loses a tenth,
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -7,7 +7,7 @@
 #include "simulator_adapter/codec.h"
 #include "simulator_adapter/host.h"
 
-namespace aldersill::dispatch::simulator {
+namespace aldersill::simulator_adapter {
 namespace {
 
 const char kBirth[] =
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace aldersill::dispatch::simulator
+}  // namespace aldersill::simulator_adapter
