--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -6,12 +6,38 @@
 #include <limits>
 #include <optional>
 
-namespace aldersill::dispatch::simulator {
+namespace aldersill::simulator_adapter {
+
+using dispatch::Action;
+using dispatch::Arrival;
+using dispatch::AttemptEnded;
+using dispatch::Cancel;
+using dispatch::ClassSettings;
+using dispatch::Fail;
+using dispatch::KeyScope;
+using dispatch::LoadReport;
+using dispatch::Log;
+using dispatch::Outcome;
+using dispatch::Probe;
+using dispatch::ProbeDone;
+using dispatch::Progress;
+using dispatch::Refuse;
+using dispatch::Repeat;
+using dispatch::RequestId;
+using dispatch::Send;
+using dispatch::SetTimer;
+using dispatch::Settings;
+using dispatch::StreamStarted;
+using dispatch::SubscribeList;
+using dispatch::TenantSettings;
+using dispatch::WorkerEntry;
+using dispatch::WorkerList;
+
 namespace {
 
-[[noreturn]] void Bad(std::string_view name, std::string_view value, std::string_view wanted) {
-  throw WireError("field " + std::string(name) + ": '" + std::string(value) + "' is not " +
-                  std::string(wanted));
+[[noreturn]] void ThrowMalformed(std::string_view name, std::string_view value, std::string_view wanted) {
+  throw FormatError("field " + std::string(name) + ": '" + std::string(value) + "' is not " +
+                    std::string(wanted));
 }
 
 template <typename T>
@@ -19,14 +45,14 @@
   T parsed{};
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parsed);
   if (error != std::errc() || end != value.data() + value.size())
-    Bad(name, value, wanted);
+    ThrowMalformed(name, value, wanted);
   return parsed;
 }
 
 double ParseNumber(std::string_view name, std::string_view value) {
   const auto number = ParseAs<double>(name, value, "a number");
   if (!std::isfinite(number))
-    Bad(name, value, "a finite number");
+    ThrowMalformed(name, value, "a finite number");
   return number;
 }
 
@@ -35,7 +61,7 @@
     return true;
   if (value == "0" || value == "false")
     return false;
-  Bad(name, value, "a bool");
+  ThrowMalformed(name, value, "a bool");
 }
 
 std::vector<std::string> SplitList(std::string_view text) {
@@ -48,11 +74,11 @@
   return items;
 }
 
-// The i-th of a list setting that may be shorter: its last item then serves for the rest.
-std::optional<std::string> ItemOf(const std::vector<std::string>& items, std::size_t i) {
+// The item at this index of a list setting; where the list is shorter its last item stands for the rest.
+std::optional<std::string> ItemOf(const std::vector<std::string>& items, std::size_t index) {
   if (items.empty())
     return std::nullopt;
-  return items[std::min(i, items.size() - 1)];
+  return items[std::min(index, items.size() - 1)];
 }
 
 Outcome ParseOutcome(std::string_view value) {
@@ -72,10 +98,28 @@
     return Outcome::kCancelled;
   if (value == "unused")
     return Outcome::kNotSent;
-  Bad("result", value, "an outcome code");
+  ThrowMalformed("result", value, "an outcome code");
+}
+
+// One value of a load report. What `x0` stands for is a setting of the simulator: the free slots. Values of
+// other names, such as free memory, are ignored.
+void SetReportValue(std::string_view name, double value, LoadReport* report) {
+  if (name == "busy_reqs")
+    report->in_work = value;
+  else if (name == "pending")
+    report->waiting = value;
+  else if (name == "cpu_share")
+    report->cpu_share = value;
+  else if (name == "svc_ms")
+    report->service_ms = value;
+  else if (name == "served_ps")
+    report->served_per_s = value;
+  else if (name == "failed_ps")
+    report->errors_per_s = value;
+  else if (name == "x0")
+    report->free_slots = value;
 }
 
-// What `x0` stands for is a setting; only free slots have a place in our vocabulary, and free memory none.
 LoadReport ParseReport(const Line& line) {
   LoadReport report;
   std::string_view text = line.TextOr("stats", "");
@@ -87,23 +131,8 @@
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const std::size_t colon = pair.find(':');
     if (colon == std::string_view::npos)
-      Bad("stats", pair, "a name:value pair");
-    const std::string_view name = pair.substr(0, colon);
-    const double value = ParseNumber("stats", pair.substr(colon + 1));
-    if (name == "busy_reqs")
-      report.in_work = value;
-    if (name == "pending")
-      report.waiting = value;
-    if (name == "cpu_share")
-      report.cpu_share = value;
-    if (name == "svc_ms")
-      report.service_ms = value;
-    if (name == "served_ps")
-      report.served_per_s = value;
-    if (name == "failed_ps")
-      report.errors_per_s = value;
-    if (name == "x0")
-      report.free_slots = value;
+      ThrowMalformed("stats", pair, "a name:value pair");
+    SetReportValue(pair.substr(0, colon), ParseNumber("stats", pair.substr(colon + 1)), &report);
   }
   return report;
 }
@@ -112,87 +141,143 @@
 
 int ParseAttempt(const Line& line) { return static_cast<int>(line.IntOr("shot", 0)); }
 
-ClassSettings ParseClass(const Line& line, std::size_t i) {
-  const std::string at = "grades." + std::to_string(i) + ".";
-  ClassSettings c;
-  c.name = line.Text(at + "name");
-  c.target = line.IntOr(at + "target", c.target);
-  c.deadline = line.IntOr(at + "deadline", c.deadline);
-  c.priority_weight = line.NumberOr(at + "worth", c.priority_weight);
-  c.late_priority_weight = line.NumberOr(at + "lateValue", c.late_priority_weight);
-  c.window = line.IntOr(at + "dedupWindow", c.window);
-  c.streaming = line.BoolOr(at + "streaming", c.streaming);
-  const std::string_view repeat = line.TextOr(at + "repeat", "fragile");
-  if (repeat == "retryable") {
-    c.repeat = Repeat::kRepeatable;
-  } else if (repeat == "dedup") {
-    c.repeat = Repeat::kKeyed;
-  } else if (repeat != "fragile") {
-    Bad(at + "repeat", repeat, "retryable, dedup or fragile");
-  }
-  const std::string_view scope = line.TextOr(at + "dedupScope", "all");
-  if (scope == "zone") {
-    c.scope = KeyScope::kZone;
-  } else if (scope == "cell") {
-    c.scope = KeyScope::kCell;
-  } else if (scope != "all") {
-    Bad(at + "dedupScope", scope, "all, zone or cell");
-  }
-  const auto kind = ItemOf(SplitList(line.TextOr("familyInfo.classKind", "")), i);
+Repeat ParseRepeat(const Line& line, const std::string& field) {
+  const std::string_view repeat = line.TextOr(field, "fragile");
+  if (repeat == "retryable")
+    return Repeat::kRepeatable;
+  if (repeat == "dedup")
+    return Repeat::kKeyed;
+  if (repeat != "fragile")
+    ThrowMalformed(field, repeat, "retryable, dedup or fragile");
+  return Repeat::kUnsafe;
+}
+
+KeyScope ParseScope(const Line& line, const std::string& field) {
+  const std::string_view scope = line.TextOr(field, "all");
+  if (scope == "zone")
+    return KeyScope::kZone;
+  if (scope == "cell")
+    return KeyScope::kCell;
+  if (scope != "all")
+    ThrowMalformed(field, scope, "all, zone or cell");
+  return KeyScope::kAll;
+}
+
+ClassSettings ParseClass(const Line& line, std::size_t index) {
+  const std::string prefix = "grades." + std::to_string(index) + ".";
+  ClassSettings job_class;
+  job_class.name = line.Text(prefix + "name");
+  job_class.target = line.IntOr(prefix + "target", job_class.target);
+  job_class.deadline = line.IntOr(prefix + "deadline", job_class.deadline);
+  job_class.priority_weight = line.NumberOr(prefix + "worth", job_class.priority_weight);
+  job_class.late_priority_weight = line.NumberOr(prefix + "lateValue", job_class.late_priority_weight);
+  job_class.window = line.IntOr(prefix + "dedupWindow", job_class.window);
+  job_class.streaming = line.BoolOr(prefix + "streaming", job_class.streaming);
+  job_class.repeat = ParseRepeat(line, prefix + "repeat");
+  job_class.scope = ParseScope(line, prefix + "dedupScope");
+  const auto kind = ItemOf(SplitList(line.TextOr("familyInfo.classKind", "")), index);
   if (kind)
-    c.kind = ParseAs<int>("familyInfo.classKind", *kind, "an integer");
-  const auto priority = ItemOf(SplitList(line.TextOr("familyInfo.classPriority", "")), i);
+    job_class.kind = ParseAs<int>("familyInfo.classKind", *kind, "an integer");
+  const auto priority = ItemOf(SplitList(line.TextOr("familyInfo.classPriority", "")), index);
   if (priority)
-    c.priority = ParseAs<int>("familyInfo.classPriority", *priority, "an integer");
-  const auto stretch = ItemOf(SplitList(line.TextOr("familyInfo.classStretch", "")), i);
+    job_class.priority = ParseAs<int>("familyInfo.classPriority", *priority, "an integer");
+  const auto stretch = ItemOf(SplitList(line.TextOr("familyInfo.classStretch", "")), index);
   if (stretch)
-    c.stretch = ParseNumber("familyInfo.classStretch", *stretch);
-  c.stretch = line.NumberOr(at + "aimStretch", c.stretch);
-  return c;
+    job_class.stretch = ParseNumber("familyInfo.classStretch", *stretch);
+  job_class.stretch = line.NumberOr(prefix + "aimStretch", job_class.stretch);
+  return job_class;
+}
+
+TenantSettings ParseTenant(const Line& line, std::size_t index) {
+  const std::string prefix = "tenants." + std::to_string(index) + ".";
+  TenantSettings tenant;
+  tenant.name = line.Text(prefix + "name");
+  tenant.share = line.NumberOr(prefix + "share", tenant.share);
+  if (line.Has(prefix + "quotaPerS"))
+    tenant.quota_per_s = line.NumberOr(prefix + "quotaPerS", 0.0);
+  return tenant;
+}
+
+// What the deployment tells of workers and traffic.
+void ParseDeployment(const Line& line, Settings* settings) {
+  settings->kinds = SplitList(line.TextOr("machineTypes", ""));
+  settings->zones = SplitList(line.TextOr("zones", ""));
+  settings->zone = line.TextOr("locality", "");
+  settings->nodes = static_cast<int>(line.IntOr("peersTotal", settings->nodes));
+  settings->over_share_priority_weight =
+      line.NumberOr("overShareWorth", settings->over_share_priority_weight);
+  settings->priority_weight_by_work = line.TextOr("valueBy", "request") == "work";
+  settings->subscribe = line.TextOr("discovery", "automatic") == "subscribe";
+  settings->reports_start = line.BoolOr("familyInfo.tellsStart", settings->reports_start);
+  settings->progress = line.IntOr("familyInfo.progress", settings->progress);
+  const std::string_view reports = line.TextOr("report.how", "silent");
+  if (reports == "piggyback")
+    settings->reports = Settings::Reports::kWithAnswers;
+  if (reports == "pull")
+    settings->reports = Settings::Reports::kProbesOnly;
+}
+
+// What a dispatcher may do, the rules it has to keep and the prices.
+void ParseLimits(const Line& line, Settings* settings) {
+  settings->probes = line.BoolOr("limits.probes", settings->probes);
+  settings->cancel = line.BoolOr("limits.cancel", settings->cancel);
+  settings->second_copies = line.BoolOr("limits.secondCopies", settings->second_copies);
+  settings->retry_after = line.BoolOr("limits.retryAfter", settings->retry_after);
+  settings->max_attempts = static_cast<int>(line.IntOr("limits.maxAttempts", settings->max_attempts));
+  settings->max_retry_after = line.IntOr("limits.maxRetryAfter", settings->max_retry_after);
+  settings->answer_slack = line.IntOr("rules.answerSlack", settings->answer_slack);
+  settings->drain_grace = line.IntOr("rules.drainGrace", settings->drain_grace);
+  settings->must_ask_in = line.IntOr("rules.mustAskIn", settings->must_ask_in);
+  settings->overload_factor = line.NumberOr("rules.overloadFactor", settings->overload_factor);
+  settings->fall = line.IntOr("rules.fall", settings->fall);
+  settings->cold_share = line.NumberOr("rules.coldShare", settings->cold_share);
+  settings->warm_after = line.IntOr("rules.warmAfter", settings->warm_after);
+  settings->price_cross_zone = line.NumberOr("prices.crossZone", settings->price_cross_zone);
+  settings->price_probe = line.NumberOr("prices.probe", settings->price_probe);
 }
 
 class ActionWriter {
  public:
   ActionWriter(std::int64_t instance, std::string* out) : instance_(instance), out_(out) {}
 
-  void operator()(const Send& a) {
+  void operator()(const Send& send) {
     Begin("forward");
-    Field("req", static_cast<std::uint64_t>(a.request));
-    Field("executor", a.worker);
-    if (a.give_up_at != 0)
-      Field("stopAt", a.give_up_at);
+    Field("req", static_cast<std::uint64_t>(send.request));
+    Field("executor", send.worker);
+    if (send.give_up_at != 0)
+      Field("stopAt", send.give_up_at);
   }
-  void operator()(const Cancel& a) {
+  void operator()(const Cancel& cancel) {
     Begin("stop_attempt");
-    Field("req", static_cast<std::uint64_t>(a.request));
-    Field("shot", a.attempt_number);
+    Field("req", static_cast<std::uint64_t>(cancel.request));
+    Field("shot", cancel.attempt_number);
   }
-  void operator()(const Refuse& a) {
+  void operator()(const Refuse& rejection) {
     Begin("shed");
-    Field("req", static_cast<std::uint64_t>(a.request));
-    if (a.retry_after > 0)
-      Field("notBeforeFor", a.retry_after);
+    Field("req", static_cast<std::uint64_t>(rejection.request));
+    if (rejection.retry_after > 0)
+      Field("notBeforeFor", rejection.retry_after);
   }
-  void operator()(const Fail& a) {
+  void operator()(const Fail& failure) {
     Begin("lose");
-    Field("req", static_cast<std::uint64_t>(a.request));
+    Field("req", static_cast<std::uint64_t>(failure.request));
   }
-  void operator()(const SetTimer& a) {
+  void operator()(const SetTimer& timer) {
     Begin("sleep");
-    Field("sleepFor", a.delay);
-    Field("token", a.token);
+    Field("sleepFor", timer.delay);
+    Field("token", timer.token);
   }
-  void operator()(const Probe& a) {
+  void operator()(const Probe& probe) {
     Begin("poll");
-    Field("executor", a.worker);
+    Field("executor", probe.worker);
   }
-  void operator()(const SubscribeList&) {
+  void operator()(const SubscribeList& /*subscribe*/) {
     Begin("stream_changes");
     Field("on", 1);
   }
-  void operator()(const Log& a) {
+  void operator()(const Log& log) {
     Begin("write_log");
-    Field("message", OneLine(a.text));
+    Field("message", OneLine(log.text));
   }
 
   void Begin(std::string_view tag) {
@@ -213,7 +298,8 @@
   static std::string OneLine(std::string_view text) {
     std::string line(text);
     std::replace_if(
-        line.begin(), line.end(), [](char c) { return c == '\n' || c == '\t' || c == '\r'; }, ' ');
+        line.begin(), line.end(),
+        [](char character) { return character == '\n' || character == '\t' || character == '\r'; }, ' ');
     return line;
   }
 
@@ -234,9 +320,9 @@
     if (first) {
       tag_ = part;
     } else if (const std::size_t equals = part.find('='); equals != std::string_view::npos) {
-      parts_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
+      fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
     } else {
-      throw WireError("part '" + std::string(part) + "' of " + std::string(tag_) + " is not name=value");
+      throw FormatError("part '" + std::string(part) + "' of " + std::string(tag_) + " is not name=value");
     }
     first = false;
     if (tab == std::string_view::npos)
@@ -246,7 +332,7 @@
 }
 
 std::string_view Line::Find(std::string_view name) const {
-  for (const auto& [key, value] : parts_) {
+  for (const auto& [key, value] : fields_) {
     if (key == name)
       return value;
   }
@@ -256,7 +342,7 @@
 std::string_view Line::Text(std::string_view name) const {
   const std::string_view value = Find(name);
   if (value.empty())
-    throw WireError("field " + std::string(name) + " of " + std::string(tag_) + " is missing");
+    throw FormatError("field " + std::string(name) + " of " + std::string(tag_) + " is missing");
   return value;
 }
 
@@ -268,7 +354,7 @@
 std::int64_t Line::Int(std::string_view name) const {
   const auto value = ParseAs<std::int64_t>(name, Text(name), "an integer");
   if (value < 0)
-    Bad(name, Text(name), "zero or more");
+    ThrowMalformed(name, Text(name), "zero or more");
   return value;
 }
 
@@ -284,53 +370,19 @@
   return Has(name) ? ParseBool(name, Find(name)) : fallback;
 }
 
-Birth ParseBirth(const Line& line) {
-  Birth birth;
-  // Some nonces use all 64 bits.
-  birth.seed = ParseAs<std::uint64_t>("nonce64", line.Text("nonce64"), "an integer");
-  Settings& s = birth.settings;
+InstanceSettings ParseInstanceSettings(const Line& line) {
+  InstanceSettings parsed;
+  // Some seeds use all 64 bits.
+  parsed.seed = ParseAs<std::uint64_t>("nonce64", line.Text("nonce64"), "an integer");
   const auto classes = static_cast<std::size_t>(line.IntOr("grades.count", 0));
   for (std::size_t i = 0; i < classes; ++i)
-    s.classes.push_back(ParseClass(line, i));
+    parsed.settings.classes.push_back(ParseClass(line, i));
   const auto tenants = static_cast<std::size_t>(line.IntOr("tenants.count", 0));
-  for (std::size_t i = 0; i < tenants; ++i) {
-    const std::string at = "tenants." + std::to_string(i) + ".";
-    TenantSettings& t = s.tenants.emplace_back();
-    t.name = line.Text(at + "name");
-    t.share = line.NumberOr(at + "share", t.share);
-    if (line.Has(at + "quotaPerS"))
-      t.quota_per_s = line.NumberOr(at + "quotaPerS", 0.0);
-  }
-  s.kinds = SplitList(line.TextOr("machineTypes", ""));
-  s.zones = SplitList(line.TextOr("zones", ""));
-  s.zone = line.TextOr("locality", "");
-  s.nodes = static_cast<int>(line.IntOr("peersTotal", s.nodes));
-  s.over_share_priority_weight = line.NumberOr("overShareWorth", s.over_share_priority_weight);
-  s.priority_weight_by_work = line.TextOr("valueBy", "request") == "work";
-  s.subscribe = line.TextOr("discovery", "automatic") == "subscribe";
-  s.reports_start = line.BoolOr("familyInfo.tellsStart", s.reports_start);
-  s.progress = line.IntOr("familyInfo.progress", s.progress);
-  const std::string_view reports = line.TextOr("report.how", "silent");
-  if (reports == "piggyback")
-    s.reports = Settings::Reports::kWithAnswers;
-  if (reports == "pull")
-    s.reports = Settings::Reports::kProbesOnly;
-  s.probes = line.BoolOr("limits.probes", s.probes);
-  s.cancel = line.BoolOr("limits.cancel", s.cancel);
-  s.second_copies = line.BoolOr("limits.secondCopies", s.second_copies);
-  s.retry_after = line.BoolOr("limits.retryAfter", s.retry_after);
-  s.max_attempts = static_cast<int>(line.IntOr("limits.maxAttempts", s.max_attempts));
-  s.max_retry_after = line.IntOr("limits.maxRetryAfter", s.max_retry_after);
-  s.answer_slack = line.IntOr("rules.answerSlack", s.answer_slack);
-  s.drain_grace = line.IntOr("rules.drainGrace", s.drain_grace);
-  s.must_ask_in = line.IntOr("rules.mustAskIn", s.must_ask_in);
-  s.overload_factor = line.NumberOr("rules.overloadFactor", s.overload_factor);
-  s.fall = line.IntOr("rules.fall", s.fall);
-  s.cold_share = line.NumberOr("rules.coldShare", s.cold_share);
-  s.warm_after = line.IntOr("rules.warmAfter", s.warm_after);
-  s.price_cross_zone = line.NumberOr("prices.crossZone", s.price_cross_zone);
-  s.price_probe = line.NumberOr("prices.probe", s.price_probe);
-  return birth;
+  for (std::size_t i = 0; i < tenants; ++i)
+    parsed.settings.tenants.push_back(ParseTenant(line, i));
+  ParseDeployment(line, &parsed.settings);
+  ParseLimits(line, &parsed.settings);
+  return parsed;
 }
 
 WorkerEntry ParseWorker(const Line& line) {
@@ -347,7 +399,7 @@
       entry.state = WorkerEntry::State::kGone;
       break;
     default:
-      Bad("stageState", line.Text("stageState"), "0, 1 or 2");
+      ThrowMalformed("stageState", line.Text("stageState"), "0, 1 or 2");
   }
   entry.weight = line.NumberOr("weight", entry.weight);
   entry.kind = line.TextOr("familyType", "");
@@ -368,7 +420,7 @@
     case 3:
       return WorkerList::Form::kFailed;
     default:
-      Bad("form", line.Text("form"), "0, 1, 2 or 3");
+      ThrowMalformed("form", line.Text("form"), "0, 1, 2 or 3");
   }
 }
 
@@ -385,27 +437,38 @@
   const double slots = line.NumberOr("needs", 1.0);
   constexpr double kMostSlots = 1e6;
   if (slots < 0.0 || slots > kMostSlots)
-    Bad("needs", line.Text("needs"), "a number of slots");
+    ThrowMalformed("needs", line.Text("needs"), "a number of slots");
   arrival.slots = std::max(1, static_cast<int>(std::ceil(slots)));
   arrival.is_retry = line.BoolOr("retry", false);
   return arrival;
 }
 
-StreamStarted ParseStreamStarted(const Line& line) { return {ParseRequest(line), ParseAttempt(line)}; }
+StreamStarted ParseStreamStarted(const Line& line) {
+  return {.request = ParseRequest(line), .attempt_number = ParseAttempt(line)};
+}
 
 Progress ParseProgress(const Line& line) {
-  const std::int64_t what = line.Int("what");
-  return {ParseRequest(line), ParseAttempt(line), what == 1, line.NumberOr("x", 0.0)};
+  const bool started = line.Int("what") == 1;
+  return {.request = ParseRequest(line),
+          .attempt_number = ParseAttempt(line),
+          .started = started,
+          .share = line.NumberOr("x", 0.0)};
 }
 
 AttemptEnded ParseAttemptEnded(const Line& line) {
-  return {ParseRequest(line),         ParseAttempt(line),       ParseOutcome(line.Text("result")),
-          line.BoolOr("last", false), line.IntOr("elapsed", 0), ParseReport(line)};
+  return {.request = ParseRequest(line),
+          .attempt_number = ParseAttempt(line),
+          .outcome = ParseOutcome(line.Text("result")),
+          .request_ended = line.BoolOr("last", false),
+          .elapsed = line.IntOr("elapsed", 0),
+          .report = ParseReport(line)};
 }
 
 ProbeDone ParseProbeDone(const Line& line) {
-  return {std::string(line.Text("executor")), ParseOutcome(line.Text("result")), line.IntOr("elapsed", 0),
-          ParseReport(line)};
+  return {.worker = std::string(line.Text("executor")),
+          .outcome = ParseOutcome(line.Text("result")),
+          .elapsed = line.IntOr("elapsed", 0),
+          .report = ParseReport(line)};
 }
 
 void WriteAction(std::int64_t instance, const Action& action, std::string* out) {
@@ -420,4 +483,4 @@
   out->push_back('\n');
 }
 
-}  // namespace aldersill::dispatch::simulator
+}  // namespace aldersill::simulator_adapter
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,5 +1,5 @@
-// The simulator's wire: lines of tab-separated name=value parts. Reads events, writes actions, decides
-// nothing.
+// The simulator's line format: tab-separated name=value fields after a tag. Parses events and settings,
+// writes actions and decides nothing.
 #ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
 #define ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
 
@@ -13,22 +13,22 @@
 
 #include "aldersill/dispatch/dispatcher.h"
 
-namespace aldersill::dispatch::simulator {
+namespace aldersill::simulator_adapter {
 
-// Malformed input; the text names what is wrong, the host adds the line number.
-class WireError : public std::runtime_error {
+// Malformed input; the text names what is wrong, the server adds the line number.
+class FormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One line: its first part and its name=value parts. Views into the text it was parsed from.
+// One line: its tag and its fields, as views into the text that it was parsed from.
 class Line {
  public:
   explicit Line(std::string_view text);
 
   std::string_view tag() const { return tag_; }
   bool Has(std::string_view name) const { return !Find(name).empty(); }
-  // Required fields throw WireError when missing or unparsable; optional ones only when unparsable.
+  // Required fields throw FormatError when missing or malformed; optional ones only when malformed.
   std::string_view Text(std::string_view name) const;
   std::string_view TextOr(std::string_view name, std::string_view fallback) const;
   std::int64_t Int(std::string_view name) const;
@@ -40,27 +40,29 @@
   std::string_view Find(std::string_view name) const;
 
   std::string_view tag_;
-  std::vector<std::pair<std::string_view, std::string_view>> parts_;
+  std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-struct Birth {
+// How an instance begins.
+struct InstanceSettings {
   std::uint64_t seed = 0;
-  Settings settings;
+  dispatch::Settings settings;
 };
 
-Birth ParseBirth(const Line& line);
-WorkerEntry ParseWorker(const Line& line);
-WorkerList::Form ParseListForm(const Line& line);
-Arrival ParseArrival(const Line& line);
-StreamStarted ParseStreamStarted(const Line& line);
-Progress ParseProgress(const Line& line);
-AttemptEnded ParseAttemptEnded(const Line& line);
-ProbeDone ParseProbeDone(const Line& line);
+InstanceSettings ParseInstanceSettings(const Line& line);
+dispatch::WorkerEntry ParseWorker(const Line& line);
+dispatch::WorkerList::Form ParseListForm(const Line& line);
+dispatch::Arrival ParseArrival(const Line& line);
+dispatch::StreamStarted ParseStreamStarted(const Line& line);
+dispatch::Progress ParseProgress(const Line& line);
+dispatch::AttemptEnded ParseAttemptEnded(const Line& line);
+dispatch::ProbeDone ParseProbeDone(const Line& line);
 
-// Appends the line of one action, its end of line included.
-void WriteAction(std::int64_t instance, const Action& action, std::string* out);
+// Appends the line of one action with its line end.
+void WriteAction(std::int64_t instance, const dispatch::Action& action, std::string* out);
+// Appends the line that reports that an instance has failed, with its line end.
 void WriteFault(std::int64_t instance, std::string_view message, std::string* out);
 
-}  // namespace aldersill::dispatch::simulator
+}  // namespace aldersill::simulator_adapter
 
 #endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -10,14 +10,23 @@
 
 #include "simulator_adapter/codec.h"
 
-namespace aldersill::dispatch::simulator {
+namespace aldersill::simulator_adapter {
 namespace {
 
-class Host {
+using dispatch::Action;
+using dispatch::ClientGone;
+using dispatch::Dispatcher;
+using dispatch::Event;
+using dispatch::Micros;
+using dispatch::RequestId;
+using dispatch::TimerFired;
+using dispatch::WorkerList;
+
+class Server {
  public:
-  Host(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
+  Server(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
-  // Serves one batch; false at the end of input.
+  // Reads one batch of events and writes its reply; false at the end of input.
   bool ServeBatch() {
     do {
       if (!NextLine())
@@ -25,17 +34,17 @@
     } while (text_.empty());
     const Line opening(text_);
     if (opening.tag() != "turn")
-      throw WireError("'" + std::string(opening.tag()) + "' outside a batch");
+      throw FormatError("'" + std::string(opening.tag()) + "' outside a batch");
     now_ = opening.Int("atTime");
     const std::int64_t serial = opening.Int("serial");
     reply_.clear();
     while (true) {
       if (!NextLine())
-        throw WireError("batch " + std::to_string(serial) + " is truncated");
+        throw FormatError("batch " + std::to_string(serial) + " is truncated");
       const Line line(text_);
       if (line.tag() == "end")
         break;
-      ServeEvent(line);
+      HandleLine(line);
     }
     reply_.append("ready\tserial=").append(std::to_string(serial)).append("\n");
     out_.write(reply_.data(), static_cast<std::streamsize>(reply_.size()));
@@ -53,71 +62,81 @@
     return true;
   }
 
-  void ServeEvent(const Line& line) {
+  void HandleLine(const Line& line) {
     const std::string_view tag = line.tag();
-    const std::int64_t who = line.Int("who");
+    const std::int64_t instance = line.Int("who");
     if (tag == "born") {
-      Birth birth = ParseBirth(line);
-      instances_.erase(who);
-      Guard(who,
-            [&] { instances_[who] = std::make_unique<Dispatcher>(std::move(birth.settings), birth.seed); });
+      StartInstance(instance, ParseInstanceSettings(line));
     } else if (tag == "detach") {
-      instances_.erase(who);
-    } else if (tag == "announce") {
-      Handle(who, ReadList(line));
-    } else if (tag == "ingress") {
-      Handle(who, ParseArrival(line));
-    } else if (tag == "established") {
-      Handle(who, ParseStreamStarted(line));
-    } else if (tag == "note") {
-      Handle(who, ParseProgress(line));
-    } else if (tag == "settled") {
-      Handle(who, ParseAttemptEnded(line));
-    } else if (tag == "dropped") {
-      Handle(who, ClientGone{RequestId{static_cast<std::uint64_t>(line.Int("req"))}});
-    } else if (tag == "timer") {
-      Handle(who, TimerFired{static_cast<std::uint64_t>(line.Int("token"))});
-    } else if (tag == "probe_done") {
-      Handle(who, ParseProbeDone(line));
+      instances_.erase(instance);
     } else if (tag == "mail") {
-      line.Int(
-          "neighbour");  // The module keeps no counsel with its peers: a well-formed message is set aside.
+      // Instances of this module don't use messages to their neighbours: a well-formed one is ignored.
+      line.Int("neighbour");
     } else {
-      throw WireError("unknown message '" + std::string(tag) + "'");
+      HandleEvent(instance, ParseEvent(line));
     }
   }
 
-  WorkerList ReadList(const Line& line) {
+  Event ParseEvent(const Line& line) {
+    const std::string_view tag = line.tag();
+    if (tag == "announce")
+      return ReadWorkerList(line);
+    if (tag == "ingress")
+      return ParseArrival(line);
+    if (tag == "established")
+      return ParseStreamStarted(line);
+    if (tag == "note")
+      return ParseProgress(line);
+    if (tag == "settled")
+      return ParseAttemptEnded(line);
+    if (tag == "dropped")
+      return ClientGone{RequestId{static_cast<std::uint64_t>(line.Int("req"))}};
+    if (tag == "timer")
+      return TimerFired{static_cast<std::uint64_t>(line.Int("token"))};
+    if (tag == "probe_done")
+      return ParseProbeDone(line);
+    throw FormatError("unknown message '" + std::string(tag) + "'");
+  }
+
+  WorkerList ReadWorkerList(const Line& line) {
     WorkerList list;
     list.form = ParseListForm(line);
     const std::int64_t entries = line.IntOr("hosts", 0);
     for (std::int64_t i = 0; i < entries; ++i) {
       if (!NextLine())
-        throw WireError("a worker list is truncated");
+        throw FormatError("a worker list is truncated");
       const Line entry(text_);
       if (entry.tag() != "m")
-        throw WireError("'" + std::string(entry.tag()) + "' inside a worker list");
+        throw FormatError("'" + std::string(entry.tag()) + "' inside a worker list");
       list.workers.push_back(ParseWorker(entry));
     }
     return list;
   }
 
-  void Handle(std::int64_t who, Event event) {
-    const auto found = instances_.find(who);
+  void StartInstance(std::int64_t instance, InstanceSettings begin) {
+    instances_.erase(instance);
+    ReportFaults(instance, [&] {
+      instances_[instance] = std::make_unique<Dispatcher>(std::move(begin.settings), begin.seed);
+    });
+  }
+
+  void HandleEvent(std::int64_t instance, const Event& event) {
+    const auto found = instances_.find(instance);
     if (found == instances_.end())
-      throw WireError("field who: no instance " + std::to_string(who));
+      throw FormatError("field who: no instance " + std::to_string(instance));
     actions_.clear();
-    Guard(who, [&] { found->second->Handle(now_, event, &actions_); });
+    ReportFaults(instance, [&] { found->second->Handle(now_, event, &actions_); });
     for (const Action& action : actions_)
-      WriteAction(who, action, &reply_);
+      WriteAction(instance, action, &reply_);
   }
 
+  // Runs `body`; an exception becomes a line in the reply and ends nothing else.
   template <typename Body>
-  void Guard(std::int64_t who, Body body) {
+  void ReportFaults(std::int64_t instance, Body body) {
     try {
       body();
-    } catch (const std::exception& e) {
-      WriteFault(who, e.what(), &reply_);
+    } catch (const std::exception& error) {
+      WriteFault(instance, error.what(), &reply_);
     }
   }
 
@@ -134,15 +153,15 @@
 }  // namespace
 
 int Serve(std::istream& in, std::ostream& out, std::ostream& errors) {
-  Host host(in, out);
+  Server server(in, out);
   try {
-    while (host.ServeBatch()) {
+    while (server.ServeBatch()) {
     }
     return 0;
-  } catch (const WireError& e) {
-    errors << "simulator_adapter: line " << host.line_number() << ": " << e.what() << "\n";
+  } catch (const FormatError& error) {
+    errors << "simulator_adapter: line " << server.line_number() << ": " << error.what() << "\n";
     return 1;
   }
 }
 
-}  // namespace aldersill::dispatch::simulator
+}  // namespace aldersill::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,3 +1,4 @@
+// The program that the simulator runs: the decision module behind standard input and output.
 #include <iostream>
 
 #include "simulator_adapter/host.h"
@@ -5,5 +6,5 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  return aldersill::dispatch::simulator::Serve(std::cin, std::cout, std::cerr);
+  return aldersill::simulator_adapter::Serve(std::cin, std::cout, std::cerr);
 }
