--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,4 +1,4 @@
-// The operator's own file: YAML (and so JSON), read whole and checked, or printed with its defaults.
+// The operator's own file: YAML (and so JSON), read and checked as a whole, or printed with its defaults.
 #ifndef ALDERSILL_SRC_CONFIG_OPERATOR_FILE_H_
 #define ALDERSILL_SRC_CONFIG_OPERATOR_FILE_H_
 
@@ -8,13 +8,14 @@
 
 namespace aldersill {
 
-// Throws MissingField, UnknownField, BadValue or another ConfigError (config/config.h): one line, `FILE:LINE:
-// PATH what is wrong with it`. At most 1 MiB.
+// Reads a file of at most 1 MiB, or a text. Throws MissingField, UnknownField, BadValue or another
+// ConfigError (config/errors.h): one line, `FILE:LINE: PATH problem`.
 OperatorSettings ReadOperatorFile(const std::string& path);
 OperatorSettings ParseOperatorText(const std::string& text, const std::string& name_in_errors);
 
-// All fields, those left out of the file with their defaults; reading it back gives the same settings. It
-// holds no secret: keys are in files of their own, of which only the paths are settings.
+// All fields, with their defaults where the file leaves them out, as YAML that reads back to the same
+// settings. The settings hold no secrets: keys are in files of their own, of which only the paths are
+// settings.
 std::string PrintOperatorSettings(OperatorSettings settings);
 
 }  // namespace aldersill
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,5 +1,4 @@
-// What the operator's own file sets, as plain values with their defaults. One table in operator_file.cpp
-// names every field once, for reading, for printing and for the check of unknown keys.
+// The operator's settings with their defaults. operator_schema.h names every field and its limits.
 #ifndef ALDERSILL_SRC_CONFIG_OPERATOR_SETTINGS_H_
 #define ALDERSILL_SRC_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -18,8 +17,8 @@
   bool enabled = false;
   Endpoint listen{"127.0.0.1", 7419};
   Micros fetch_wait = 2 * kSecond;       // how long a FETCH may wait before it gets null
-  Micros fetch_timeout = 1 * kSecond;    // how long an execution waits for a FETCH
-  Micros worker_silence = 60 * kSecond;  // a worker not heard of for this long is gone
+  Micros fetch_timeout = 1 * kSecond;    // how long an attempt waits for a FETCH
+  Micros worker_silence = 60 * kSecond;  // a worker that sends nothing for this long is lost
   Micros worker_return = kSecond;        // and so is one without a connection for this long
   bool operator==(const FaktorySettings&) const = default;
 };
@@ -33,19 +32,19 @@
 struct MembershipSettings {
   bool enabled = false;
   Endpoint listen{"127.0.0.1", 7946};  // UDP
-  std::string advertise;               // where the others reach it; empty: where it listens
-  std::string key_file;                // membership/sealer.h tells its form
+  std::string advertise;               // the address that other members use; empty: `listen`
+  std::string key_file;                // in the format of membership/sealer.h
   membership::Settings core;
   bool operator==(const MembershipSettings&) const = default;
 };
 
 struct DutiesSettings {
-  bool probing = false;  // each worker probed by one instance, which tells the others
+  bool probing = false;  // each worker is probed by one member, which reports to the others
   duties::ProbeSettings probes;
-  std::vector<std::string> exclusive;  // duties that one instance at a time holds
-  std::vector<std::string> voters;     // names of the instances that decide on them
+  std::vector<std::string> exclusive;  // duties that at most one member holds at a time
+  std::vector<std::string> voters;     // names of the members that grant the leases
   Micros lease = 10 * kSecond;
-  double most_drift = 0.01;  // of a clock's rate
+  double most_drift = 0.01;  // maximum drift of a clock, as a share of its rate
   bool operator==(const DutiesSettings&) const = default;
 };
 
