--- a/src/faktory/frontend.h
+++ b/src/faktory/frontend.h
@@ -1,17 +1,18 @@
-// The Faktory frontend. Producers PUSH and are answered once the work is done; workers with a wid are
-// instances, and a FETCH of theirs is a free slot. It keeps sessions and decides nothing.
+// The Faktory frontend: accepts connections of producers and workers, and carries jobs and answers between
+// them and the core. Producers PUSH and are answered once the work is done; a FETCH of a worker is a free
+// slot. It makes no dispatch decisions.
 #ifndef ALDERSILL_SRC_FAKTORY_FRONTEND_H_
 #define ALDERSILL_SRC_FAKTORY_FRONTEND_H_
 
 #include <cstdint>
-#include <deque>
-#include <map>
 #include <memory>
 #include <string>
 #include <unordered_map>
 
 #include "core/types.h"
 #include "faktory/codec.h"
+#include "faktory/session.h"
+#include "faktory/worker_registry.h"
 #include "net/event_loop.h"
 
 namespace aldersill::faktory {
@@ -19,85 +20,73 @@
 struct FrontendSettings {
   Endpoint listen;
   Micros fetch_wait = 2 * kSecond;  // how long a FETCH may wait before it gets null
-  Micros silence = 60 * kSecond;    // a worker not heard of for this long is gone
-  Micros return_within = kSecond;   // a worker without a connection for this long is gone
+  Micros silence = 60 * kSecond;    // a worker that sends no command for this long is lost
+  Micros return_within = kSecond;   // a worker without a connection for this long is lost
   int most_connections = 128;
   ClassDeadlines classes;
 };
 
-class Frontend {
+class Frontend : private SessionHost {
  public:
   // Throws std::runtime_error if it cannot listen.
   Frontend(event_base* base, FrontendSettings settings, EventSink* sink);
-  ~Frontend();
+  ~Frontend() override;
 
-  // New settings. `listener`: in place of the one it has; null keeps that.
+  // Adopts new settings. `listener` replaces the present one; null keeps that.
   void ApplySettings(FrontendSettings settings, EventPtr<evconnlistener> listener);
-  // Where a new endpoint will be listened on once it is adopted. Throws std::runtime_error if it cannot be.
+  // A listener for ApplySettings. Throws std::runtime_error if it cannot listen.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
   int port() const;
+
+  // Answers a producer's job. Ignored if the producer is gone.
   void Reply(std::uint64_t client, const FinalAnswer& answer);
   void Start(const StartAttempt& start);
   void Stop(AttemptId attempt);
-  // From here on closes producers' sessions, each between two commands. Workers stay: what was taken needs
-  // them.
+
+  // Closes producers' sessions, now and later, each between two commands. Workers stay until the last job is
+  // done.
   void BeginDrain();
-  // Switched off: takes no newcomers, and ends what it has as in a drain. Adopt() switches it on again.
+  // Stops listening, and drains. ApplySettings with a listener opens it again.
   void Close();
-  // Whether every producer has gone.
+  // Whether no producer is connected.
   bool Quiet() const;
 
  private:
-  class Session;
-  struct Worker {
-    WorkerEndpoint endpoint;
-    int sessions = 0;
-    bool quiet = false;                // it said so
-    std::deque<Session*> fetching;     // parked FETCHes, the longest waiting first
-    std::deque<StartAttempt> waiting;  // executions given to it that wait for a FETCH
-    struct Held {
-      AttemptId attempt{};
-      const Session* session = nullptr;  // that fetched it; none once that has ended by END
-    };
-    std::unordered_multimap<std::string, Held> held;           // fetched, by jid
-    std::unordered_multimap<std::string, AttemptId> given_up;  // fetched, ended by us, not yet acknowledged
-    std::unique_ptr<Timer> silence;  // what it is not heard of for, or not connected
-  };
-
   static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
+  void Accept(evutil_socket_t fd);
+  void CloseIdleProducers();
+  void CloseSessionsOf(const std::string& worker);
 
-  void Enter(Session* session, const Hello& hello);
-  void Park(Session* session);
-  void Unpark(Session* session);
-  void Deliver(Worker* worker, Session* session, const StartAttempt& start);
-  // The reply to an ACK or FAIL.
-  std::string Acknowledge(const std::string& wid, const Ack& ack, Outcome outcome);
-  std::string Hear(const std::string& wid, const Beat& beat);
-  void Heard(const std::string& wid);
-  // A session of a worker ended. By END, what it fetched stays with the worker, which gets nothing new
-  // without a session and is gone if none follows soon. Else what it fetched is lost, and with the last one
-  // so is the worker.
-  void Leave(Session* session, bool by_end);
-  void Release(const Worker& worker);  // all that was given up on
-  void Lose(const std::string& name);  // the worker is gone, and what it has fetched is lost
-  void TellState(const Worker& worker);
-  void TellFree(const Worker& worker);
-  std::uint64_t Take(Session* session, Job job);
-  void Remove(Session* session);
-  void CloseIdle();
+  const ClassDeadlines& classes() const override { return settings_.classes; }
+  Micros fetch_wait() const override { return settings_.fetch_wait; }
+  Micros drain_began() const override { return drain_began_; }
+  Info GetInfo() const override;
+  void SubmitJob(Session* session, Job job) override;
+  void ConnectWorker(Session* session, const Hello& hello) override { workers_.Connect(session, hello); }
+  void RecordHeartbeat(const std::string& worker) override { workers_.RecordHeartbeat(worker); }
+  void ParkFetch(Session* session) override { workers_.ParkFetch(session); }
+  void CancelFetch(Session* session) override { workers_.CancelFetch(session); }
+  std::string Acknowledge(const std::string& worker, const Ack& ack, Outcome outcome) override {
+    return workers_.Acknowledge(worker, ack, outcome);
+  }
+  std::string HandleBeat(const std::string& worker, const Beat& beat) override {
+    return workers_.HandleBeat(worker, beat);
+  }
+  void CloseSession(Session* session) override;
 
   event_base* base_;
   FrontendSettings settings_;
   EventSink* sink_;
   EventPtr<evconnlistener> listener_;
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
-  std::map<std::string, Worker> workers_;                // by instance name
-  std::map<AttemptId, std::string> attempts_;            // waiting or held, to the worker's name
-  std::unordered_map<std::uint64_t, Session*> clients_;  // pushes that wait for their answer
+  WorkerRegistry workers_;
+  std::unordered_map<std::uint64_t, Session*> producer_by_client_;  // of jobs that have no answer yet
   std::uint64_t next_client_ = 1;
-  std::uint64_t pushed_ = 0, done_ = 0, failed_ = 0;
+  std::uint64_t pushed_ = 0;
+  std::uint64_t done_ = 0;
+  std::uint64_t failed_ = 0;
   Micros began_ = 0;
-  Micros drain_began_ = 0;
+  Micros drain_began_ = 0;  // 0: no drain
   Timer drain_timer_;
 };
 
--- /dev/null
+++ b/src/faktory/session.cpp
@@ -0,0 +1,236 @@
+#include "faktory/session.h"
+
+#include <sys/ioctl.h>
+
+#include <algorithm>
+#include <cstdlib>
+
+#include "core/text.h"
+
+namespace aldersill::faktory {
+namespace {
+
+constexpr std::size_t kMaxLineBytes = 64 * 1024;  // as much as a body on the platform's wire
+constexpr Micros kHelloTimeout = 5 * kSecond;
+constexpr Micros kNewSessionGrace = 600 * kMillisecond;
+constexpr timeval kWriteTimeout = {120, 0};  // ends the session of a peer that does not read its replies
+
+// The text after "-ERR": a rejection says when to retry, a failure promises nothing.
+std::string ErrorText(const FinalAnswer& answer) {
+  if (const auto* rejection = std::get_if<Rejection>(&answer))
+    return "NACK retry-after=" + DecimalSeconds(rejection->retry_after) +
+           " refused: pushing again is harmless";
+  switch (std::get<Failure>(answer).why) {
+    case Failure::Why::kTooLate:
+      return "FAILED no answer in time: it may have run";
+    case Failure::Why::kRepeat:
+      return "FAILED a repeat of this jid that its class forbids";
+    case Failure::Why::kFailed:
+      break;
+  }
+  return "FAILED it may have run";
+}
+
+}  // namespace
+
+Session::Session(event_base* base, SessionHost* host, evutil_socket_t fd)
+    : host_(host),
+      stream_(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)),
+      timer_(base, [this] { HandleTimeout(); }) {
+  bufferevent_setcb(stream_.get(), &Session::OnReadable, &Session::OnWritten, &Session::OnStreamEvent, this);
+  bufferevent_setwatermark(stream_.get(), EV_READ, 0, 2 * kMaxLineBytes);
+  bufferevent_set_timeouts(stream_.get(), nullptr, &kWriteTimeout);
+  bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
+  Write(SimpleString("HI {\"v\":2}"));
+  timer_.Set(kHelloTimeout);
+}
+
+bool Session::IsIdle(Micros drain_began) const {
+  // A session that is newer than the drain, or has sent half a line, is about to send its command.
+  const bool has_partial_line = evbuffer_get_length(bufferevent_get_input(stream_.get())) != 0;
+  const bool in_grace = SteadyNow() - std::max(accepted_, drain_began) < kNewSessionGrace;
+  if ((accepted_ >= drain_began || has_partial_line) && in_grace)
+    return false;
+  if (state_ != State::kGreeting && state_ != State::kReady)
+    return false;
+  int unread = 0;
+  return evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0 &&
+         ioctl(bufferevent_getfd(stream_.get()), FIONREAD, &unread) == 0 && unread == 0;
+}
+
+void Session::AnswerPush(std::uint64_t client, const FinalAnswer& answer) {
+  const auto push = std::find_if(pending_pushes_.begin(), pending_pushes_.end(),
+                                 [client](const PendingPush& pending) { return pending.client == client; });
+  if (push == pending_pushes_.end())
+    return;
+  const std::string jid = std::move(push->jid);
+  pending_pushes_.erase(push);
+  const bool served = std::holds_alternative<Served>(answer);
+  if (state_ != State::kPushingBulk)
+    return Reply(served ? SimpleString("OK") : Error("ERR", ErrorText(answer)));
+  if (!served)
+    bulk_errors_.emplace_back(jid, ErrorText(answer));
+  if (pending_pushes_.empty() && !submitting_bulk_)
+    FinishBulk();
+}
+
+void Session::OnReadable(bufferevent* /*stream*/, void* self) { static_cast<Session*>(self)->ReadCommands(); }
+
+void Session::OnWritten(bufferevent* /*stream*/, void* self) { static_cast<Session*>(self)->HandleWritten(); }
+
+void Session::OnStreamEvent(bufferevent* /*stream*/, short what, void* self) {
+  auto* session = static_cast<Session*>(self);
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0)
+    session->host_->CloseSession(session);
+}
+
+void Session::HandleTimeout() {
+  if (state_ == State::kGreeting)
+    return host_->CloseSession(this);  // no HELLO
+  if (state_ != State::kFetching)
+    return;
+  host_->CancelFetch(this);
+  Reply(NullBulk());
+}
+
+void Session::HandleWritten() {
+  const Micros drain_began = host_->drain_began();
+  // A producer that pushes again at once is never idle later in a drain: it can be closed only after a reply.
+  const bool drained = drain_began != 0 && worker_.empty() && IsIdle(drain_began);
+  const bool ended =
+      state_ == State::kEnding && evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
+  if (drained || ended)
+    host_->CloseSession(this);
+}
+
+void Session::Write(const std::string& text) { bufferevent_write(stream_.get(), text.data(), text.size()); }
+
+void Session::Reply(const std::string& reply) {
+  timer_.Clear();
+  state_ = State::kReady;
+  Write(reply);
+  // Deferred: the caller may be in the middle of posting an event to the core.
+  bufferevent_trigger(stream_.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS);
+}
+
+void Session::EndWith(const std::string& last_reply) {
+  state_ = State::kEnding;
+  timer_.Clear();
+  Write(last_reply);
+}
+
+void Session::ReadCommands() {
+  evbuffer* input = bufferevent_get_input(stream_.get());
+  while (state_ == State::kGreeting || state_ == State::kReady) {
+    std::size_t size = 0;
+    char* line = evbuffer_readln(input, &size, EVBUFFER_EOL_CRLF);
+    if (line == nullptr) {
+      if (evbuffer_get_length(input) > kMaxLineBytes)
+        EndWith(Error("ERR", "command too long"));
+      return;
+    }
+    const std::string text(line, size);
+    std::free(line);
+    if (!RunLine(text))
+      return;
+  }
+}
+
+bool Session::RunLine(const std::string& line) {
+  if (line.size() > kMaxLineBytes) {
+    EndWith(Error("ERR", "command too long"));
+    return false;
+  }
+  try {
+    Run(DecodeCommand(line));
+  } catch (const BadCommand& error) {
+    if (state_ == State::kGreeting) {
+      EndWith(Error("ERR", error.what()));
+      return false;
+    }
+    Write(Error("ERR", error.what()));
+  }
+  return true;
+}
+
+void Session::Run(const Command& command) {
+  if (state_ == State::kGreeting)
+    return Greet(command);
+  if (!worker_.empty())
+    host_->RecordHeartbeat(worker_);
+  if (command.verb == "PUSH")
+    return Push(command.argument);
+  if (command.verb == "PUSHB")
+    return PushBulk(command.argument);
+  if (command.verb == "FETCH")
+    return Fetch();
+  if (command.verb == "ACK")
+    return Write(host_->Acknowledge(RequireWorker(), DecodeAck(command.argument), Outcome::kServed));
+  if (command.verb == "FAIL")
+    return Write(host_->Acknowledge(RequireWorker(), DecodeAck(command.argument), Outcome::kError));
+  if (command.verb == "BEAT")
+    return Write(host_->HandleBeat(RequireWorker(), DecodeBeat(command.argument)));
+  if (command.verb == "INFO")
+    return Write(BulkString(EncodeInfo(host_->GetInfo())));
+  if (command.verb == "END")
+    return End();
+  throw BadCommand("unknown command " + command.verb);
+}
+
+void Session::Greet(const Command& command) {
+  if (command.verb != "HELLO")
+    throw BadCommand("HELLO comes first");
+  const Hello hello = DecodeHello(command.argument);
+  if (hello.version != 2)
+    throw BadCommand("only version 2 is spoken here");
+  timer_.Clear();
+  state_ = State::kReady;
+  Write(SimpleString("OK"));
+  if (!hello.wid.empty())
+    host_->ConnectWorker(this, hello);
+}
+
+void Session::Push(const std::string& argument) {
+  Job job = DecodePush(argument, host_->classes());
+  state_ = State::kPushing;
+  host_->SubmitJob(this, std::move(job));
+}
+
+void Session::PushBulk(const std::string& argument) {
+  std::vector<Pushed> jobs = DecodePushBulk(argument, host_->classes());
+  state_ = State::kPushingBulk;
+  bulk_errors_.clear();
+  submitting_bulk_ = true;  // a job that is answered at once must not end the reply before all are submitted
+  for (Pushed& pushed : jobs) {
+    if (pushed.job)
+      host_->SubmitJob(this, std::move(*pushed.job));
+    else
+      bulk_errors_.emplace_back(pushed.jid, pushed.error);
+  }
+  submitting_bulk_ = false;
+  if (pending_pushes_.empty())
+    FinishBulk();
+}
+
+void Session::FinishBulk() { Reply(BulkString(EncodePushBulkReply(bulk_errors_))); }
+
+void Session::Fetch() {
+  RequireWorker();
+  state_ = State::kFetching;
+  timer_.Set(host_->fetch_wait());
+  host_->ParkFetch(this);
+}
+
+void Session::End() {
+  state_ = State::kEnding;
+  // Deferred: commands are still being read, and replies that are on their way go first.
+  bufferevent_trigger(stream_.get(), EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
+}
+
+const std::string& Session::RequireWorker() const {
+  if (worker_.empty())
+    throw BadCommand("only a worker, with a wid in its HELLO, may do this");
+  return worker_;
+}
+
+}  // namespace aldersill::faktory
