--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,73 +12,83 @@
 namespace aldersill {
 namespace {
 
-constexpr std::size_t kMostOfField = 400;
+constexpr std::size_t kMaxFieldBytes = 400;
 
-// Lines allowed: a bucket that fills with time.
-class Rate {
+// A token bucket: one token a line.
+class RateLimiter {
  public:
-  void Set(const LogSettings& s) {
-    per_second_ = s.lines_per_second;
-    allowed_ = std::min<double>(s.burst, allowed_ + std::max(0.0, s.burst - burst_));
-    burst_ = s.burst;
+  void Configure(const LogSettings& settings) {
+    lines_per_second_ = settings.lines_per_second;
+    // A larger burst is available at once; a smaller one takes away what exceeds it.
+    const double growth = std::max(0.0, settings.burst - burst_);
+    tokens_ = std::min<double>(settings.burst, tokens_ + growth);
+    burst_ = settings.burst;
   }
-  bool Allows() {
+
+  bool TryAcquire() {
     const Clock::time_point now = Clock::now();
-    allowed_ = std::min(burst_, allowed_ + per_second_ * std::chrono::duration<double>(now - last_).count());
-    last_ = now;
-    if (allowed_ < 1.0)
+    const double elapsed_seconds = std::chrono::duration<double>(now - last_refill_).count();
+    tokens_ = std::min(burst_, tokens_ + lines_per_second_ * elapsed_seconds);
+    last_refill_ = now;
+    if (tokens_ < 1.0)
       return false;
-    allowed_ -= 1.0;
+    tokens_ -= 1.0;
     return true;
   }
 
  private:
   using Clock = std::chrono::steady_clock;
-  double per_second_ = LogSettings{}.lines_per_second;
+  double lines_per_second_ = LogSettings{}.lines_per_second;
   double burst_ = LogSettings{}.burst;
-  double allowed_ = burst_;
-  Clock::time_point last_ = Clock::now();
+  double tokens_ = burst_;
+  Clock::time_point last_refill_ = Clock::now();
 };
 
-struct State {
-  State() {
-    logger.set_pattern("%v");  // lines are whole as we make them
+// The state of the process's only log.
+struct LogState {
+  LogState() {
+    logger.set_pattern("%v");  // lines are complete already
     logger.set_level(spdlog::level::trace);
     logger.flush_on(spdlog::level::trace);
   }
-  // One thread writes: the unlocked sink does.
+  // Only one thread writes, so the sink needs no lock.
   spdlog::logger logger{"aldersill", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   LogSettings settings;
-  Rate rate;
-  std::uint64_t dropped = 0;
+  RateLimiter rate_limiter;
+  std::uint64_t dropped = 0;  // lines, since the last one that was written
 };
-State& TheState() {
-  static State state;
+
+LogState& GlobalState() {
+  static LogState state;
   return state;
 }
 
-constexpr const char* kNames[] = {"debug", "info", "warning", "error"};
+// By LogLevel.
+constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error"};
 
-// Bare where it reads as one word, else quoted; control characters never get through, whatever a peer sent.
-std::string Quoted(std::string_view text) {
-  const auto plain = [](unsigned char c) { return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\'; };
-  if (!text.empty() && std::all_of(text.begin(), text.end(), plain))
+// A value as a single word, or in double quotes. Control characters are replaced, as values may come from
+// peers.
+std::string QuoteIfNeeded(std::string_view text) {
+  const auto is_plain = [](unsigned char c) {
+    return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
+  };
+  if (!text.empty() && std::all_of(text.begin(), text.end(), is_plain))
     return std::string(text);
-  std::string out = "\"";
+  std::string quoted = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\')
-      out += '\\';
-    out += static_cast<unsigned char>(c) < ' ' || c == 0x7f ? ' ' : c;
+      quoted += '\\';
+    quoted += static_cast<unsigned char>(c) < ' ' || c == 0x7f ? ' ' : c;
   }
-  return out + "\"";
+  return quoted + "\"";
 }
 
-std::string AsText(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  std::string line = fmt::format("aldersill: {} {}", kNames[static_cast<int>(level)], event);
+std::string FormatText(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
+  std::string line = fmt::format("aldersill: {} {}", kLevelNames[static_cast<int>(level)], event);
   for (const LogField& field : fields) {
     line += fmt::format(" {}=", field.name);
     if (const auto* text = std::get_if<std::string>(&field.value)) {
-      line += Quoted(std::string_view(*text).substr(0, kMostOfField));
+      line += QuoteIfNeeded(std::string_view(*text).substr(0, kMaxFieldBytes));
     } else {
       std::visit(
           [&]<typename T>(const T& value) {
@@ -91,18 +101,18 @@
   return line;
 }
 
-std::string AsJson(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
+std::string FormatJson(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
   const auto now = std::chrono::time_point_cast<std::chrono::microseconds>(std::chrono::system_clock::now());
   const auto micros = now.time_since_epoch().count();
   nlohmann::ordered_json line = {{"time", fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z",
                                                       fmt::gmtime(micros / 1'000'000), micros % 1'000'000)},
-                                 {"level", kNames[static_cast<int>(level)]},
+                                 {"level", kLevelNames[static_cast<int>(level)]},
                                  {"event", event}};
   for (const LogField& field : fields) {
     std::visit(
         [&]<typename T>(const T& value) {
           if constexpr (std::is_same_v<T, std::string>) {
-            line[std::string(field.name)] = value.substr(0, kMostOfField);
+            line[std::string(field.name)] = value.substr(0, kMaxFieldBytes);
           } else {
             line[std::string(field.name)] = value;
           }
@@ -112,33 +122,33 @@
   return line.dump(-1, ' ', /*ensure_ascii=*/true, nlohmann::json::error_handler_t::replace);
 }
 
-void Write(State* s, LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  const bool json = s->settings.format == LogSettings::Format::kJson;
-  s->logger.info("{}", json ? AsJson(level, event, fields) : AsText(level, event, fields));
+void Write(LogState* state, LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
+  const bool as_json = state->settings.format == LogSettings::Format::kJson;
+  state->logger.info("{}", as_json ? FormatJson(level, event, fields) : FormatText(level, event, fields));
 }
 
 }  // namespace
 
 void SetUpLog(const LogSettings& settings) {
-  State& s = TheState();
-  s.settings = settings;
-  s.rate.Set(settings);
+  LogState& state = GlobalState();
+  state.settings = settings;
+  state.rate_limiter.Configure(settings);
 }
 
-bool LogsAt(LogLevel level) { return level >= TheState().settings.level; }
+bool LogsAt(LogLevel level) { return level >= GlobalState().settings.level; }
 
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  State& s = TheState();
+  LogState& state = GlobalState();
   if (!LogsAt(level))
     return;
-  if (!s.rate.Allows()) {
-    ++s.dropped;
+  if (!state.rate_limiter.TryAcquire()) {
+    ++state.dropped;
     return;
   }
-  if (s.dropped > 0)
-    Write(&s, LogLevel::kWarning, "log_lines_dropped", {{"lines", s.dropped}});
-  s.dropped = 0;
-  Write(&s, level, event, fields);
+  if (state.dropped > 0)
+    Write(&state, LogLevel::kWarning, "log_lines_dropped", {{"lines", state.dropped}});
+  state.dropped = 0;
+  Write(&state, level, event, fields);
 }
 
 }  // namespace aldersill
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// The one way to write a log line: an event's name and typed fields, to standard error, at most so many lines
-// a second. The loop's thread only.
+// Structured logging: an event with typed fields is one line on standard error, under a rate limit. For the
+// thread of the event loop only.
 #ifndef ALDERSILL_SRC_LOG_LOG_H_
 #define ALDERSILL_SRC_LOG_LOG_H_
 
@@ -16,32 +16,34 @@
 
 struct LogSettings {
   enum class Format { kText, kJson } format = Format::kText;
-  LogLevel level = LogLevel::kInfo;  // what is below it is left out
+  LogLevel level = LogLevel::kInfo;  // the lowest that is written
   int lines_per_second = 20;
   int burst = 100;
 };
 
+// A named value. Implicit constructors let callers write {{"name", value}}.
 struct LogField {
   using Value = std::variant<std::int64_t, double, bool, std::string>;
   template <std::integral T>
-  LogField(std::string_view n, T v) : name(n), value(static_cast<std::int64_t>(v)) {}
-  LogField(std::string_view n, bool v) : name(n), value(v) {}
-  LogField(std::string_view n, double v) : name(n), value(v) {}
-  LogField(std::string_view n, std::string v) : name(n), value(std::move(v)) {}
-  LogField(std::string_view n, const char* v) : name(n), value(std::string(v)) {}
+  LogField(std::string_view field, T number) : name(field), value(static_cast<std::int64_t>(number)) {}
+  LogField(std::string_view field, bool content) : name(field), value(content) {}
+  LogField(std::string_view field, double content) : name(field), value(content) {}
+  LogField(std::string_view field, std::string text) : name(field), value(std::move(text)) {}
+  LogField(std::string_view field, const char* text) : name(field), value(std::string(text)) {}
   std::string_view name;
   Value value;
 };
 
-// Text: `aldersill: info listening name=http address=127.0.0.1:8000`. JSON: one object a line, with "time"
-// (RFC 3339, UTC), "level", "event" and the fields. Lines beyond the rate are dropped; the next that gets
-// through is preceded by one that tells how many were. A field longer than 400 bytes is cut.
+// Writes a line. Text: `aldersill: info listening name=http address=127.0.0.1:8000`. JSON: one object a line,
+// with "time" (RFC 3339, UTC), "level", "event" and the fields. A field longer than 400 bytes is cut. Lines
+// beyond the rate limit are dropped, and counted by a line `log_lines_dropped` before the next that is
+// written.
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
-// Whether a line of this level is written at all: spares the making of lines that nobody reads.
+// Whether lines of this level are written, to spare the cost of building those that are not.
 bool LogsAt(LogLevel level);
 
-// Takes effect with the next line.
+// Applies from the next line on.
 void SetUpLog(const LogSettings& settings);
 
 }  // namespace aldersill
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -7,108 +7,139 @@
 namespace aldersill {
 namespace {
 
+// By Outcome.
 constexpr const char* kOutcomes[] = {"served",         "error", "full",      "timeout",
                                      "connect_failed", "lost",  "cancelled", "not_sent"};
 
-// In the order of Nack::Why.
-constexpr const char* kRefusals[] = {"nothing_sent", "no_ready_worker", "after_attempts",
-                                     "duplicate_in_flight"};
+// By Rejection::Why.
+constexpr const char* kRejectionReasons[] = {"nothing_sent", "no_ready_worker", "after_attempts",
+                                             "duplicate_in_flight"};
 
-const char* Name(Outcome outcome) { return kOutcomes[static_cast<std::size_t>(outcome)]; }
+const char* NameOf(Outcome outcome) { return kOutcomes[static_cast<std::size_t>(outcome)]; }
 
-// A figure that was not told is -1.
-double Told(const std::optional<double>& figure) { return figure.value_or(-1.0); }
+const char* NameOf(WorkerEndpoint::State state) {
+  switch (state) {
+    case WorkerEndpoint::State::kReady:
+      return "ready";
+    case WorkerEndpoint::State::kDraining:
+      return "draining";
+    default:
+      return "gone";
+  }
+}
+
+const char* NameOf(Failure::Why reason) {
+  switch (reason) {
+    case Failure::Why::kTooLate:
+      return "deadline_exceeded";
+    case Failure::Why::kRepeat:
+      return "duplicate";
+    default:
+      return "failed";
+  }
+}
 
-struct EventLines {
-  void operator()(const RequestReceived& e) const {
+std::uint64_t NumberOf(AttemptId attempt) { return static_cast<std::uint64_t>(attempt); }
+
+// A figure that the worker did not report is logged as -1.
+double FigureOrUnknown(const std::optional<double>& figure) { return figure.value_or(-1.0); }
+
+// Logs an event of the core; events that are not traced match the last overload.
+struct EventTracer {
+  void operator()(const RequestReceived& event) const {
     Log(LogLevel::kDebug, "request_received",
-        {{"client", e.client.number},
-         {"id", e.job.id},
-         {"class", e.job.job_class},
-         {"tenant", e.job.tenant},
-         {"retry", e.job.is_retry},
-         {"time_left_ms", e.job.time_left / kMillisecond}});
+        {{"client", event.client.number},
+         {"id", event.job.id},
+         {"class", event.job.job_class},
+         {"tenant", event.job.tenant},
+         {"retry", event.job.is_retry},
+         {"time_left_ms", event.job.time_left / kMillisecond}});
   }
-  void operator()(const RequestRejectedByFrontend& e) const {
+  void operator()(const RequestRejectedByFrontend& event) const {
     Log(LogLevel::kDebug, "request_rejected",
-        {{"frontend", e.frontend == ClientRef::Frontend::kHttp ? "http" : "faktory"},
-         {"id", e.id},
-         {"status", e.status},
-         {"why", e.why}});
+        {{"frontend", event.frontend == ClientRef::Frontend::kHttp ? "http" : "faktory"},
+         {"id", event.id},
+         {"status", event.status},
+         {"why", event.why}});
   }
-  void operator()(const ClientLeft& e) const {
-    Log(LogLevel::kDebug, "client_disconnected", {{"client", e.client.number}});
+  void operator()(const ClientLeft& event) const {
+    Log(LogLevel::kDebug, "client_disconnected", {{"client", event.client.number}});
   }
-  void operator()(const AttemptEnded& e) const {
+  void operator()(const AttemptEnded& event) const {
     Log(LogLevel::kDebug, "attempt_ended",
-        {{"attempt", static_cast<std::uint64_t>(e.attempt)},
-         {"outcome", Name(e.outcome)},
-         {"free", Told(e.report.free_slots)},
-         {"cpu", Told(e.report.cpu_share)},
-         {"service_ms", Told(e.report.service_ms)},
-         {"served_per_s", Told(e.report.served_per_s)}});
+        {{"attempt", NumberOf(event.attempt)},
+         {"outcome", NameOf(event.outcome)},
+         {"free", FigureOrUnknown(event.report.free_slots)},
+         {"cpu", FigureOrUnknown(event.report.cpu_share)},
+         {"service_ms", FigureOrUnknown(event.report.service_ms)},
+         {"served_per_s", FigureOrUnknown(event.report.served_per_s)}});
   }
-  void operator()(const ProbeCompleted& e) const {
+  void operator()(const ProbeCompleted& event) const {
     Log(LogLevel::kDebug, "probe_completed",
-        {{"worker", e.worker},
-         {"outcome", Name(e.outcome)},
-         {"elapsed_ms", e.elapsed / kMillisecond},
-         {"free", Told(e.report.free_slots)},
-         {"cpu", Told(e.report.cpu_share)},
-         {"service_ms", Told(e.report.service_ms)},
-         {"served_per_s", Told(e.report.served_per_s)}});
+        {{"worker", event.worker},
+         {"outcome", NameOf(event.outcome)},
+         {"elapsed_ms", event.elapsed / kMillisecond},
+         {"free", FigureOrUnknown(event.report.free_slots)},
+         {"cpu", FigureOrUnknown(event.report.cpu_share)},
+         {"service_ms", FigureOrUnknown(event.report.service_ms)},
+         {"served_per_s", FigureOrUnknown(event.report.served_per_s)}});
   }
-  void operator()(const EndpointListUpdate& e) const {
-    for (const WorkerEndpoint& i : e.workers) {
+  void operator()(const EndpointListUpdate& event) const {
+    for (const WorkerEndpoint& worker : event.workers) {
       Log(LogLevel::kDebug, "endpoint_list_entry",
-          {{"worker", i.name},
-           {"state", i.state == WorkerEndpoint::State::kReady      ? "ready"
-                     : i.state == WorkerEndpoint::State::kDraining ? "draining"
-                                                                   : "gone"},
-           {"zone", i.zone},
-           {"kind", i.kind},
-           {"weight", i.weight},
-           {"started_ms", i.started / kMillisecond}});
+          {{"worker", worker.name},
+           {"state", NameOf(worker.state)},
+           {"zone", worker.zone},
+           {"kind", worker.kind},
+           {"weight", worker.weight},
+           {"started_ms", worker.started / kMillisecond}});
     }
   }
-  void operator()(const auto&) const {}
+  void operator()(const auto& /*event*/) const {}
 };
 
-struct EffectLines {
-  void operator()(const StartAttempt& e) const {
+// Logs an effect of the core; effects that are not traced match the last overload.
+struct EffectTracer {
+  void operator()(const StartAttempt& effect) const {
     Log(LogLevel::kDebug, "attempt_started",
-        {{"attempt", static_cast<std::uint64_t>(e.attempt)}, {"id", e.job->id}, {"worker", e.worker}});
+        {{"attempt", NumberOf(effect.attempt)}, {"id", effect.job->id}, {"worker", effect.worker}});
+  }
+  void operator()(const StopAttempt& effect) const {
+    Log(LogLevel::kDebug, "attempt_stopped", {{"attempt", NumberOf(effect.attempt)}});
   }
-  void operator()(const StopAttempt& e) const {
-    Log(LogLevel::kDebug, "attempt_stopped", {{"attempt", static_cast<std::uint64_t>(e.attempt)}});
+  void operator()(const ProbeWorker& effect) const {
+    Log(LogLevel::kDebug, "probe_sent", {{"worker", effect.worker}});
   }
-  void operator()(const ProbeWorker& e) const { Log(LogLevel::kDebug, "probe_sent", {{"worker", e.worker}}); }
-  void operator()(const Answer& e) const {
-    const auto* rejection = std::get_if<Rejection>(&e.answer);
-    const auto* failure = std::get_if<Failure>(&e.answer);
-    const char* what = rejection != nullptr                     ? "rejected"
-                       : failure == nullptr                     ? "served"
-                       : failure->why == Failure::Why::kTooLate ? "deadline_exceeded"
-                       : failure->why == Failure::Why::kRepeat  ? "duplicate"
-                                                                : "failed";
+  void operator()(const Answer& effect) const {
+    const char* result = "served";
+    const char* reason = "";
+    Micros retry_after = 0;
+    if (const auto* rejection = std::get_if<Rejection>(&effect.answer)) {
+      result = "rejected";
+      reason = kRejectionReasons[static_cast<std::size_t>(rejection->why)];
+      retry_after = rejection->retry_after;
+    } else if (const auto* failure = std::get_if<Failure>(&effect.answer)) {
+      result = NameOf(failure->why);
+    }
     Log(LogLevel::kDebug, "request_answered",
-        {{"client", e.client.number},
-         {"result", what},
-         {"retry_after_ms", rejection != nullptr ? rejection->retry_after / kMillisecond : 0},
-         {"why", rejection != nullptr ? kRefusals[static_cast<std::size_t>(rejection->why)] : ""}});
+        {{"client", effect.client.number},
+         {"result", result},
+         {"retry_after_ms", retry_after / kMillisecond},
+         {"why", reason}});
   }
-  void operator()(const auto&) const {}
+  void operator()(const auto& /*effect*/) const {}
 };
 
 }  // namespace
 
 void Trace(const Event& event) {
   if (LogsAt(LogLevel::kDebug))
-    std::visit(EventLines{}, event);
+    std::visit(EventTracer{}, event);
 }
+
 void Trace(const Effect& effect) {
   if (LogsAt(LogLevel::kDebug))
-    std::visit(EffectLines{}, effect);
+    std::visit(EffectTracer{}, effect);
 }
 
 }  // namespace aldersill
--- a/src/log/trace.h
+++ b/src/log/trace.h
@@ -1,5 +1,5 @@
-// What a dispatcher took, did and answered, one line each, for whoever counts over many of them
-// (tools/fleet_table): written at level debug only, by the rate that holds for all lines.
+// Tracing: log lines of the core's events and effects at level debug (docs/trace.md), to be counted over many
+// dispatchers by tools/fleet_table. The log's rate limit applies.
 #ifndef ALDERSILL_SRC_LOG_TRACE_H_
 #define ALDERSILL_SRC_LOG_TRACE_H_
 
