--- a/src/snmp/agent.h
+++ b/src/snmp/agent.h
@@ -1,5 +1,5 @@
 // A read-only SNMP v2c agent for the core's counters (mibs/ALDERSILL-MIB.txt), on Net-SNMP's agent library
-// and our event loop. It reads no configuration or state of the machine's and leaves none.
+// and the event loop. It neither reads nor writes configuration or state files of the machine.
 #ifndef ALDERSILL_SRC_SNMP_AGENT_H_
 #define ALDERSILL_SRC_SNMP_AGENT_H_
 
@@ -11,19 +11,22 @@
 
 namespace aldersill::snmp {
 
-// At most one in a process: the library keeps global state.
+// At most one in a process, as the library keeps global state.
 class Agent {
  public:
-  // `objects` gives what stands in the MIB when it is called. Throws std::runtime_error if it cannot listen.
+  // `objects` returns the current objects and is called for each request. Throws std::runtime_error if it
+  // cannot listen.
   Agent(event_base* base, const Endpoint& listen, std::function<ObjectMap()> objects);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
+  // The UDP port that is listened on.
   int port() const { return port_; }
 
  private:
   static void OnReadable(evutil_socket_t fd, short what, void* self);
+
   int port_ = 0;
   EventPtr<event> readable_;
 };
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -2,48 +2,77 @@
 
 #include <algorithm>
 #include <limits>
+#include <utility>
 
 namespace aldersill::snmp {
 namespace {
 
-Gauge ToGauge(std::uint64_t value) {
-  return {
-      static_cast<std::uint32_t>(std::min<std::uint64_t>(value, std::numeric_limits<std::uint32_t>::max()))};
-}
+// The subtrees below the MIB's root (mibs/ALDERSILL-MIB.txt).
+constexpr std::uint64_t kScalars = 1;
+constexpr std::uint64_t kClassTable = 2;
+constexpr std::uint64_t kOutcomeTable = 3;
+constexpr std::uint64_t kRejectionTable = 7;
+constexpr std::uint64_t kEntry = 1;
+// Column 1 of each table is its index, which cannot be read.
+constexpr std::uint64_t kFirstColumn = 2;
 
-// In the order of dispatch::Outcome.
+// By Outcome.
 constexpr const char* kOutcomes[] = {"served",        "error", "full",      "timeout",
                                      "connectFailed", "lost",  "cancelled", "notSent"};
 
+// A Gauge32 stays at its maximum if the value exceeds it.
+Gauge ToGauge(std::uint64_t value) {
+  constexpr std::uint64_t kMaxGauge = std::numeric_limits<std::uint32_t>::max();
+  return {static_cast<std::uint32_t>(std::min(value, kMaxGauge))};
+}
+
+// Adds the cells of one row of a table, from its first readable column on.
+void AddRow(std::uint64_t table, std::uint64_t index, std::vector<Value> cells, ObjectMap* objects) {
+  std::uint64_t column = kFirstColumn;
+  for (Value& cell : cells)
+    (*objects)[{table, kEntry, column++, index}] = std::move(cell);
+}
+
+void AddScalars(const Counters& counters, ObjectMap* objects) {
+  const Value scalars[] = {ToGauge(counters.open_requests),         ToGauge(counters.open_attempts),
+                           ToGauge(counters.ready_workers),         ToGauge(counters.draining_workers),
+                           Counter{counters.attempts_started},      Counter{counters.repeats_rejected},
+                           Counter{counters.endpoint_list_updates}, Counter{counters.endpoint_list_failures}};
+  std::uint64_t number = 0;
+  for (const Value& scalar : scalars)
+    (*objects)[{kScalars, ++number, 0}] = scalar;
+}
+
+void AddClassTable(const Counters& counters, ObjectMap* objects) {
+  std::uint64_t index = 0;
+  for (const ClassCounters& job_class : counters.classes) {
+    AddRow(
+        kClassTable, ++index,
+        {job_class.name, Counter{job_class.received}, Counter{job_class.served}, Counter{job_class.rejected},
+         Counter{job_class.failed}, Counter{job_class.clients_left}, Counter{job_class.served_ms}},
+        objects);
+  }
+}
+
+void AddOutcomeTable(const Counters& counters, ObjectMap* objects) {
+  for (std::size_t i = 0; i < counters.attempts.size(); ++i)
+    AddRow(kOutcomeTable, i + 1, {std::string(kOutcomes[i]), Counter{counters.attempts[i]}}, objects);
+}
+
+// Indexed by the HTTP status.
+void AddRejectionTable(const Counters& counters, ObjectMap* objects) {
+  for (const auto& [status, count] : counters.rejected_by_frontend)
+    AddRow(kRejectionTable, static_cast<std::uint64_t>(status), {Counter{count}}, objects);
+}
+
 }  // namespace
 
-ObjectMap Objects(const Counters& c) {
+ObjectMap Objects(const Counters& counters) {
   ObjectMap objects;
-  std::uint64_t column = 0;
-  const auto scalar = [&](Value value) { objects[{1, ++column, 0}] = std::move(value); };
-  scalar(ToGauge(c.open_requests));
-  scalar(ToGauge(c.open_attempts));
-  scalar(ToGauge(c.ready_workers));
-  scalar(ToGauge(c.draining_workers));
-  scalar(Counter{c.attempts_started});
-  scalar(Counter{c.repeats_rejected});
-  scalar(Counter{c.endpoint_list_updates});
-  scalar(Counter{c.endpoint_list_failures});
-  // Tables: {table, entry, column, index}.
-  for (std::uint64_t i = 0; i < c.classes.size(); ++i) {
-    const ClassCounters& k = c.classes[i];
-    objects[{2, 1, 2, i + 1}] = k.name;
-    column = 2;
-    for (const std::uint64_t count :
-         {k.received, k.served, k.rejected, k.failed, k.clients_left, k.served_ms})
-      objects[{2, 1, ++column, i + 1}] = Counter{count};
-  }
-  for (std::uint64_t i = 0; i < c.attempts.size(); ++i) {
-    objects[{3, 1, 2, i + 1}] = std::string(kOutcomes[i]);
-    objects[{3, 1, 3, i + 1}] = Counter{c.attempts[i]};
-  }
-  for (const auto& [status, count] : c.rejected_by_frontend)
-    objects[{7, 1, 2, static_cast<std::uint64_t>(status)}] = Counter{count};
+  AddScalars(counters, &objects);
+  AddClassTable(counters, &objects);
+  AddOutcomeTable(counters, &objects);
+  AddRejectionTable(counters, &objects);
   return objects;
 }
 
--- a/src/snmp/objects.h
+++ b/src/snmp/objects.h
@@ -1,4 +1,4 @@
-// ALDERSILL-MIB's objects: the core's counters by their object identifiers. It knows no SNMP library.
+// The objects of ALDERSILL-MIB: the core's counters by object identifier, independent of the SNMP library.
 #ifndef ALDERSILL_SRC_SNMP_OBJECTS_H_
 #define ALDERSILL_SRC_SNMP_OBJECTS_H_
 
@@ -12,17 +12,24 @@
 
 namespace aldersill::snmp {
 
+// Below the root of the MIB.
 using ObjectId = std::vector<std::uint64_t>;
+
+// Gauge32.
 struct Gauge {
   std::uint32_t value;
 };
+
+// Counter64.
 struct Counter {
   std::uint64_t value;
 };
+
 using Value = std::variant<Gauge, Counter, std::string>;
 
-// Every instance there is, below the MIB's root, in the order in which GETNEXT walks them.
+// Every object instance, in the order in which GETNEXT walks them.
 using ObjectMap = std::map<ObjectId, Value>;
+
 ObjectMap Objects(const Counters& counters);
 
 }  // namespace aldersill::snmp
