--- a/tests/daemon/exchanges_test.cpp
+++ b/tests/daemon/exchanges_test.cpp
@@ -1,5 +1,6 @@
-// Plays every recorded exchange in tests/exchanges against a daemon of its own. A line `config /a/b VALUE` in
-// a file changes the daemon's configuration, `config own /a/b VALUE` the operator's.
+// Plays each recorded exchange in tests/exchanges against a daemon of its own. A line `config POINTER VALUE`
+// in a file sets a value of the platform's configuration, `config own POINTER VALUE` one of the operator's
+// settings.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
@@ -14,24 +15,28 @@
 namespace aldersill::tests {
 namespace {
 
+// The folder of the recorded exchanges.
 const std::filesystem::path kFolder = ALDERSILL_EXCHANGES;
-std::string prefix;  // of the files to play
+std::string file_prefix;  // only files whose names begin with it are played
 
-void Configure(const std::string& text, nlohmann::json* config, nlohmann::json* settings) {
-  std::istringstream lines(text);
+// Applies the `config` lines of an exchange.
+void Configure(const std::string& exchange, nlohmann::json* config, nlohmann::json* settings) {
+  std::istringstream lines(exchange);
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
-    std::string verb, pointer, value;
+    std::string verb;
+    std::string pointer;
+    std::string value;
     if (!(words >> verb) || verb != "config")
       continue;
     words >> pointer;
-    nlohmann::json* where = config;
+    nlohmann::json* target = config;
     if (pointer == "own") {
-      where = settings;
+      target = settings;
       words >> pointer;
     }
     std::getline(words, value);
-    (*where)[nlohmann::json::json_pointer(pointer)] = nlohmann::json::parse(value);
+    (*target)[nlohmann::json::json_pointer(pointer)] = nlohmann::json::parse(value);
   }
 }
 
@@ -49,16 +54,16 @@
   INFO("log:\n" << daemon.log());
   for (const auto& [name, port] : daemon.ports())
     player.AddDaemonListener(name, port);
-  const std::string differs = player.Play(text.str());
-  CHECK_MESSAGE(differs.empty(), differs);
+  const std::string difference = player.Play(text.str());
+  CHECK_MESSAGE(difference.empty(), difference);
   daemon.Signal(SIGTERM);
   CHECK(daemon.Wait() == 0);
 }
 
-TEST_CASE("recorded exchanges") {
+TEST_CASE("the daemon answers every recorded exchange as recorded") {
   std::vector<std::filesystem::path> files;
   for (const auto& entry : std::filesystem::directory_iterator(kFolder)) {
-    if (entry.path().extension() == ".txt" && entry.path().filename().string().starts_with(prefix))
+    if (entry.path().extension() == ".txt" && entry.path().filename().string().starts_with(file_prefix))
       files.push_back(entry.path());
   }
   std::sort(files.begin(), files.end());
@@ -72,6 +77,6 @@
 
 int main(int argc, char** argv) {
   if (argc > 1 && argv[1][0] != '-')
-    aldersill::tests::prefix = argv[1];
+    aldersill::tests::file_prefix = argv[1];
   return doctest::Context(argc, argv).run();
 }
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -1,11 +1,14 @@
-// The same small plan of jobs over both frontends, with the same troubles: the service figure must be the
-// same, and what the rules ask is checked from outside, on what clients got and workers ran.
+// The same jobs with the same faults over both frontends: the share of priority weight that is served must be
+// the same, and the rules are checked on what clients received and workers ran.
 #include <doctest/doctest.h>
 
 #include <chrono>
+#include <functional>
 #include <map>
 #include <memory>
 #include <mutex>
+#include <string>
+#include <thread>
 #include <vector>
 
 #include "daemon_under_test.h"
@@ -17,88 +20,119 @@
 using tools::JobOutcome;
 using Clock = std::chrono::steady_clock;
 
-struct Class {
+struct JobClass {
   const char* name;
   double priority_weight;
   int deadline_ms;
-  int most_runs;  // that the repeat rule allows of what may have run
+  int max_runs;  // allowed by the class's repeat rule
 };
-const Class kClasses[] = {
+const JobClass kClasses[] = {
     {"certificado", 5.0, 10'000, 5}, {"promesa", 3.0, 5'000, 5}, {"cobro", 8.0, 25'000, 1}};
-constexpr int kJobsOfAClass = 12;
+constexpr int kJobsPerClass = 12;
+constexpr std::chrono::milliseconds kRunTime(2);  // long enough that two concurrent runs of a job overlap
 
-// Of each class one job's first run is dropped mid-job, one's fails, the others are done.
-std::string JobId(const Class& c, int i) { return std::string(c.name) + "-" + std::to_string(i); }
+std::string JobId(const JobClass& job_class, int index) {
+  return std::string(job_class.name) + "-" + std::to_string(index);
+}
+// Of each class, the first run of one job is dropped while it runs, and that of another fails.
 bool IsDropped(const std::string& id) { return id.ends_with("-3"); }
 bool IsFailed(const std::string& id) { return id.ends_with("-7"); }
 
-class Ledger {
+JobOutcome FirstRunOutcome(const std::string& id) {
+  if (IsDropped(id))
+    return JobOutcome::kDrop;
+  return IsFailed(id) ? JobOutcome::kFail : JobOutcome::kDone;
+}
+
+// Records the runs and answers of all jobs. For several threads.
+class JobRecorder {
  public:
+  // Runs a job at a worker.
   tools::RunJob Runner() {
     return [this](const std::string& id, const std::string&) {
-      int run = 0;
-      {
-        const std::lock_guard lock(mutex_);
-        run = ++runs_[id];
-        if (++running_[id] > 1)
-          ++concurrent_;
-      }
-      std::this_thread::sleep_for(std::chrono::milliseconds(2));  // its running time: two at once would meet
-      const std::lock_guard lock(mutex_);
-      --running_[id];
-      if (run > 1)
-        return JobOutcome::kDone;
-      return IsDropped(id) ? JobOutcome::kDrop : IsFailed(id) ? JobOutcome::kFail : JobOutcome::kDone;
+      const int run = BeginRun(id);
+      std::this_thread::sleep_for(kRunTime);
+      EndRun(id);
+      return run > 1 ? JobOutcome::kDone : FirstRunOutcome(id);
     };
   }
-  void Answered(const std::string& id, bool served, Clock::duration took) {
+
+  void RecordAnswer(const std::string& id, bool served, Clock::duration elapsed) {
     const std::lock_guard lock(mutex_);
-    ++answers_[id];
-    served_[id] = served;
-    took_[id] = took;
+    JobRecord& job = jobs_[id];
+    ++job.answers;
+    job.served = served;
+    job.elapsed = elapsed;
   }
-  // Checks the rules; the share of the worth that was served.
-  double Judge() {
+
+  // Checks every job by the rules of its class, and returns the share of the priority weight that was served.
+  double CheckRules() {
     const std::lock_guard lock(mutex_);
-    double asked = 0.0, got = 0.0;
-    for (const Class& c : kClasses) {
-      for (int i = 0; i < kJobsOfAClass; ++i) {
-        const std::string id = JobId(c, i);
-        CAPTURE(id);
-        CHECK(answers_[id] == 1);
-        CHECK(took_[id] < std::chrono::milliseconds(c.deadline_ms));
-        CHECK(runs_[id] >= 1);
-        CHECK(runs_[id] <= c.most_runs);
-        if (c.most_runs == 1 && (IsDropped(id) || IsFailed(id)))
-          CHECK(!served_[id]);
-        asked += c.priority_weight;
-        got += served_[id] ? c.priority_weight : 0.0;
+    double total_weight = 0.0;
+    double served_weight = 0.0;
+    for (const JobClass& job_class : kClasses) {
+      for (int i = 0; i < kJobsPerClass; ++i) {
+        const std::string id = JobId(job_class, i);
+        CheckJob(id, job_class);
+        total_weight += job_class.priority_weight;
+        served_weight += jobs_[id].served ? job_class.priority_weight : 0.0;
       }
     }
-    CHECK(concurrent_ == 0);
-    return got / asked;
+    CHECK(concurrent_runs_ == 0);
+    return served_weight / total_weight;
   }
 
  private:
+  struct JobRecord {
+    int runs = 0;
+    int running = 0;
+    int answers = 0;
+    bool served = false;
+    Clock::duration elapsed{};
+  };
+
+  // Returns the number of the run, from 1.
+  int BeginRun(const std::string& id) {
+    const std::lock_guard lock(mutex_);
+    JobRecord& job = jobs_[id];
+    if (++job.running > 1)
+      ++concurrent_runs_;
+    return ++job.runs;
+  }
+  void EndRun(const std::string& id) {
+    const std::lock_guard lock(mutex_);
+    --jobs_[id].running;
+  }
+  void CheckJob(const std::string& id, const JobClass& job_class) {
+    CAPTURE(id);
+    const JobRecord& job = jobs_[id];
+    CHECK(job.answers == 1);
+    CHECK(job.elapsed < std::chrono::milliseconds(job_class.deadline_ms));
+    CHECK(job.runs >= 1);
+    CHECK(job.runs <= job_class.max_runs);
+    if (job_class.max_runs == 1 && (IsDropped(id) || IsFailed(id)))
+      CHECK(!job.served);
+  }
+
   std::mutex mutex_;
-  std::map<std::string, int> runs_, running_, answers_;
-  std::map<std::string, bool> served_;
-  std::map<std::string, Clock::duration> took_;
-  int concurrent_ = 0;
+  std::map<std::string, JobRecord> jobs_;
+  int concurrent_runs_ = 0;
 };
 
-// A client a class, its jobs one after the other.
-void Play(Ledger* ledger,
-          const std::function<std::function<bool(const Class&, const std::string&)>()>& connect) {
+// Requests a job and waits for its answer; true if it was served.
+using RequestJob = std::function<bool(const JobClass&, const std::string& id)>;
+
+// Starts one client for each class, which requests its jobs one after the other.
+void RequestAllJobs(JobRecorder* recorder, const std::function<RequestJob()>& connect) {
   std::vector<std::thread> clients;
-  for (const Class& c : kClasses) {
-    clients.emplace_back([&c, ledger, &connect] {
-      const auto ask = connect();
-      for (int i = 0; i < kJobsOfAClass; ++i) {
-        const std::string id = JobId(c, i);
-        const auto began = Clock::now();
-        const bool served = ask(c, id);
-        ledger->Answered(id, served, Clock::now() - began);
+  for (const JobClass& job_class : kClasses) {
+    clients.emplace_back([&job_class, recorder, &connect] {
+      const RequestJob request_job = connect();
+      for (int i = 0; i < kJobsPerClass; ++i) {
+        const std::string id = JobId(job_class, i);
+        const auto start = Clock::now();
+        const bool served = request_job(job_class, id);
+        recorder->RecordAnswer(id, served, Clock::now() - start);
       }
     });
   }
@@ -108,32 +142,33 @@
 
 nlohmann::json Config() {
   nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
-  // Room for all that comes at once: which of them the throttle would refuse is not what is compared here.
+  // Capacity for all jobs at once: what the throttle rejects is not compared here.
   for (auto& tenant : config["settings"]["tenants"])
     tenant["quotaPerS"] = 1000.0;
   return config;
 }
 
-const nlohmann::json kFronts = {{"faktory", {{"enabled", true}, {"listen", "127.0.0.1:0"}}}};
+const nlohmann::json kFrontendSettings = {{"faktory", {{"enabled", true}, {"listen", "127.0.0.1:0"}}}};
 
 double OverFaktory() {
-  Ledger ledger;
+  JobRecorder recorder;
   nlohmann::json config = Config();
-  config.erase("discovery");  // the sessions are the name table
-  DaemonUnderTest daemon(config, kFronts);
+  config.erase("discovery");  // the sessions are the endpoint list
+  DaemonUnderTest daemon(config, kFrontendSettings);
   const std::uint16_t port = daemon.ports().at("faktory");
   std::vector<std::unique_ptr<tools::FaktorySlot>> slots;
   for (int i = 0; i < 6; ++i)
-    slots.push_back(std::make_unique<tools::FaktorySlot>(port, "w" + std::to_string(i % 3), ledger.Runner()));
-  // The first jobs must find a worker: until one is greeted, a push is refused.
+    slots.push_back(
+        std::make_unique<tools::FaktorySlot>(port, "w" + std::to_string(i % 3), recorder.Runner()));
+  // The first jobs must find a worker: a push before one has connected is rejected.
   tools::FaktorySession info(port);
   while (info.SendCommand("INFO").value().find("\"workers\":3") == std::string::npos) {
   }
-  Play(&ledger, [port] {
+  RequestAllJobs(&recorder, [port] {
     const auto session = std::make_shared<tools::FaktorySession>(port);
-    return [session](const Class& c, const std::string& id) {
+    return [session](const JobClass& job_class, const std::string& id) {
       const nlohmann::json job = {
-          {"jid", id}, {"jobtype", c.name}, {"args", {1}}, {"custom", {{"tenant", "hogar-del-sur"}}}};
+          {"jid", id}, {"jobtype", job_class.name}, {"args", {1}}, {"custom", {{"tenant", "hogar-del-sur"}}}};
       const std::string reply = session->SendCommand("PUSH " + job.dump()).value();
       CHECK((reply == "+OK" || reply.starts_with("-ERR FAILED") || reply.starts_with("-ERR NACK")));
       return reply == "+OK";
@@ -142,10 +177,10 @@
   slots.clear();
   daemon.Signal(SIGTERM);
   CHECK(daemon.Wait() == 0);
-  return ledger.Judge();
+  return recorder.CheckRules();
 }
 
-// As the layer before a dispatcher does: clients come once it says that it is ready.
+// Waits for readiness, as the layer before a dispatcher does.
 void AwaitReady(std::uint16_t port) {
   tools::Wire wire(tools::ConnectTo(port));
   for (std::string answer; answer != "HTTP/1.1 200 OK";) {
@@ -155,11 +190,11 @@
 }
 
 double OverHttp() {
-  Ledger ledger;
+  JobRecorder recorder;
   nlohmann::json servers = nlohmann::json::array();
   std::vector<std::unique_ptr<tools::HttpServer>> workers;
   for (int i = 0; i < 3; ++i) {
-    workers.push_back(std::make_unique<tools::HttpServer>(0, tools::JobRunningHandler(ledger.Runner())));
+    workers.push_back(std::make_unique<tools::HttpServer>(0, tools::JobRunningHandler(recorder.Runner())));
     servers.push_back({{"id", "s-" + std::to_string(i)},
                        {"addr", "127.0.0.1:" + std::to_string(workers.back()->port())},
                        {"zone", "quilicura"},
@@ -170,14 +205,14 @@
   nlohmann::json config = Config();
   config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   config["known"] = {{"version", 1}, {"full", true}, {"servers", servers}};
-  DaemonUnderTest daemon(config, kFronts);
+  DaemonUnderTest daemon(config, kFrontendSettings);
   const std::uint16_t port = daemon.ports().at("http");
   AwaitReady(port);
-  Play(&ledger, [port] {
+  RequestAllJobs(&recorder, [port] {
     const auto wire = std::make_shared<tools::Wire>(tools::ConnectTo(port));
-    return [wire](const Class& c, const std::string& id) {
+    return [wire](const JobClass& job_class, const std::string& id) {
       const tools::HttpMessage answer =
-          tools::Post(wire.get(), c.name, id, "hogar-del-sur", c.deadline_ms, "x");
+          tools::Post(wire.get(), job_class.name, id, "hogar-del-sur", job_class.deadline_ms, "x");
       const bool served = answer.start == "HTTP/1.1 200 OK";
       if (served)
         CHECK(answer.body == "ran " + id);
@@ -186,15 +221,15 @@
   });
   daemon.Signal(SIGTERM);
   CHECK(daemon.Wait() == 0);
-  return ledger.Judge();
+  return recorder.CheckRules();
 }
 
 TEST_CASE("both frontends give the same service and keep the same rules") {
   const double faktory = OverFaktory();
   const double http = OverHttp();
   CHECK(faktory == doctest::Approx(http));
-  // All but the two of cobro that may have run and so could not be repeated.
-  CHECK(http == doctest::Approx(1.0 - 2.0 * 8.0 / (kJobsOfAClass * 16.0)));
+  // All but the two jobs of cobro that may have run and so could not be repeated.
+  CHECK(http == doctest::Approx(1.0 - 2.0 * 8.0 / (kJobsPerClass * 16.0)));
 }
 
 }  // namespace
--- a/tests/daemon/snmp_test.cpp
+++ b/tests/daemon/snmp_test.cpp
@@ -1,7 +1,8 @@
-// The agent of the started program, asked over UDP.
+// The SNMP agent of the started program, queried over UDP.
 #include <doctest/doctest.h>
 
 #include <sstream>
+#include <string>
 
 #include "daemon_under_test.h"
 #include "player.h"
@@ -11,65 +12,114 @@
 namespace aldersill::tests {
 namespace {
 
-std::string Id(const std::string& below) { return std::string(tools::kAldersillMib) + "." + below; }
+// Objects of the MIB, below its root. Class 3 is cobro, outcome 1 is served.
+constexpr char kOpenRequests[] = "1.1.0";
+constexpr char kReadyWorkers[] = "1.3.0";
+constexpr char kLastScalar[] = "1.8.0";
+constexpr char kBeyondScalars[] = "1.9.0";
+constexpr char kFirstClassName[] = "2.1.2.1";
+constexpr char kCobroName[] = "2.1.2.3";
+constexpr char kFirstClassReceived[] = "2.1.3.1";
+constexpr char kCobroReceived[] = "2.1.3.3";
+constexpr char kCobroServed[] = "2.1.4.3";
+constexpr char kAttemptsServed[] = "3.1.3.1";
+constexpr char kRejectedWith400[] = "7.1.2.400";
+constexpr char kRejectedWith405[] = "7.1.2.405";
 
-TEST_CASE("counters over SNMP") {
-  nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
-  config.erase("discovery");
-  DaemonUnderTest daemon(config, {{"faktory", {{"enabled", true}, {"listen", "127.0.0.1:0"}}},
-                                  {"snmp", {{"enabled", true}, {"listen", "127.0.0.1:0"}}}});
-  REQUIRE(daemon.ports().contains("snmp"));
-  tools::SnmpProbe probe(daemon.ports().at("snmp"));
-  CHECK(probe.Get(Id("2.1.3.3"))->value == "0");  // cobro taken
+std::string Id(const std::string& below_root) { return std::string(tools::kAldersillMib) + "." + below_root; }
 
-  tools::FaktorySession worker(daemon.ports().at("faktory"), "w1");
-  tools::FaktorySession info(daemon.ports().at("faktory"));
+// The program with SNMP and Faktory on, without discovery.
+class SnmpFixture {
+ public:
+  SnmpFixture()
+      : daemon_(Config(), {{"faktory", {{"enabled", true}, {"listen", "127.0.0.1:0"}}},
+                           {"snmp", {{"enabled", true}, {"listen", "127.0.0.1:0"}}}}),
+        probe_(Port("snmp")) {}
+
+  std::uint16_t Port(const std::string& listener) {
+    REQUIRE(daemon_.ports().contains(listener));
+    return daemon_.ports().at(listener);
+  }
+  std::string Get(const std::string& below_root) { return probe_.Get(Id(below_root))->value; }
+  std::string GetNext(const std::string& id) { return probe_.GetNext(id)->id; }
+  tools::SnmpProbe& probe() { return probe_; }
+  DaemonUnderTest& daemon() { return daemon_; }
+
+  // Ends the program, which must not have logged anything around Log().
+  void End() {
+    daemon_.Signal(SIGTERM);
+    CHECK(daemon_.Wait() == 0);
+    std::istringstream lines(daemon_.log());
+    for (std::string line; std::getline(lines, line);) {
+      CHECK(line.starts_with("aldersill: "));
+      CHECK(line.find("Connection from") == std::string::npos);
+    }
+  }
+
+ private:
+  static nlohmann::json Config() {
+    nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
+    config.erase("discovery");
+    return config;
+  }
+
+  DaemonUnderTest daemon_;
+  tools::SnmpProbe probe_;
+};
+
+TEST_CASE("a job is counted while it is open, and once it is served") {
+  SnmpFixture fixture;
+  CHECK(fixture.Get(kCobroReceived) == "0");
+
+  tools::FaktorySession worker(fixture.Port("faktory"), "w1");
+  tools::FaktorySession info(fixture.Port("faktory"));
   while (info.SendCommand("INFO").value().find("\"workers\":1") == std::string::npos) {
   }
-  CHECK(probe.Get(Id("1.3.0"))->value == "1");  // ready instances
-  tools::FaktorySession client(daemon.ports().at("faktory"));
+  CHECK(fixture.Get(kReadyWorkers) == "1");
+  tools::FaktorySession client(fixture.Port("faktory"));
   client.wire().Write(
       "PUSH "
       "{\"jid\":\"j1\",\"jobtype\":\"cobro\",\"args\":[],\"custom\":{\"tenant\":\"hogar-del-sur\"}}\r\n");
   REQUIRE(worker.SendCommand("FETCH default"));
-  CHECK(probe.Get(Id("1.1.0"))->value == "1");  // open requests
+  CHECK(fixture.Get(kOpenRequests) == "1");
   REQUIRE(worker.SendCommand("ACK {\"jid\":\"j1\"}") == "+OK");
   REQUIRE(client.wire().ReadLine() == "+OK");
-  CHECK(probe.Get(Id("1.1.0"))->value == "0");
-  CHECK(probe.Get(Id("2.1.2.3"))->value == "cobro");
-  CHECK(probe.Get(Id("2.1.3.3"))->value == "1");  // taken
-  CHECK(probe.Get(Id("2.1.4.3"))->value == "1");  // served
-  CHECK(probe.Get(Id("3.1.3.1"))->value == "1");  // executions served
-
-  // What a frontend turns away is no job of any class.
-  CHECK(tools::Player({{"http", daemon.ports().at("http")}})
+  CHECK(fixture.Get(kOpenRequests) == "0");
+  CHECK(fixture.Get(kCobroName) == "cobro");
+  CHECK(fixture.Get(kCobroReceived) == "1");
+  CHECK(fixture.Get(kCobroServed) == "1");
+  CHECK(fixture.Get(kAttemptsServed) == "1");
+  fixture.End();
+}
+
+TEST_CASE("a request that a frontend rejects is counted by its status, and in no class") {
+  SnmpFixture fixture;
+  CHECK(tools::Player({{"http", fixture.Port("http")}})
             .Play("connect h http\nsend h\n| PUT /cobro HTTP/1.1\n|\n"
                   "expect h\n| HTTP/1.1 405 Method Not Allowed\n") == "");
-  CHECK(probe.Get(Id("7.1.2.405"))->value == "1");
-  CHECK(probe.Get(Id("7.1.2.400"))->value == "0");
-  CHECK(probe.Get(Id("2.1.3.3"))->value == "1");
-
-  // GETNEXT walks all of it once, from before the root and from a gap as well.
-  CHECK(probe.Walk(tools::kAldersillMib).size() == 8 + 3 * 7 + 8 * 2 + 6);
-  CHECK(probe.GetNext("1.3.6.1.4.1.8072.9999.9999.7418")->id == Id("1.1.0"));
-  CHECK(probe.GetNext(Id("1.8.0"))->id == Id("2.1.2.1"));
-  CHECK(probe.GetNext(Id("2.1.2.3"))->id == Id("2.1.3.1"));
-  CHECK(probe.Get(Id("1.9.0"))->value == "noSuchInstance");
-
-  // Nothing can be written, and nothing but this MIB be read.
-  CHECK(probe.Set(Id("1.1.0"), 7)->value != "7");
-  CHECK(probe.Get(Id("1.1.0"))->value == "0");
-  CHECK(probe.Get("1.3.6.1.2.1.1.1.0")->value == "noSuchObject");
-  CHECK(!tools::SnmpProbe(daemon.ports().at("snmp"), "private", 200).Get(Id("1.1.0")));
-
-  daemon.Signal(SIGTERM);
-  CHECK(daemon.Wait() == 0);
-  // The library writes nothing of its own, and every line went through our log.
-  std::istringstream lines(daemon.log());
-  for (std::string line; std::getline(lines, line);) {
-    CHECK(line.starts_with("aldersill: "));
-    CHECK(line.find("Connection from") == std::string::npos);
-  }
+  CHECK(fixture.Get(kRejectedWith405) == "1");
+  CHECK(fixture.Get(kRejectedWith400) == "0");
+  CHECK(fixture.Get(kCobroReceived) == "0");
+  fixture.End();
+}
+
+TEST_CASE("GETNEXT walks every object once, from before the root and from gaps as well") {
+  SnmpFixture fixture;
+  CHECK(fixture.probe().Walk(tools::kAldersillMib).size() == 8 + 3 * 7 + 8 * 2 + 6);
+  CHECK(fixture.GetNext("1.3.6.1.4.1.8072.9999.9999.7418") == Id(kOpenRequests));
+  CHECK(fixture.GetNext(Id(kLastScalar)) == Id(kFirstClassName));
+  CHECK(fixture.GetNext(Id(kCobroName)) == Id(kFirstClassReceived));
+  CHECK(fixture.Get(kBeyondScalars) == "noSuchInstance");
+  fixture.End();
+}
+
+TEST_CASE("nothing can be written, and no other MIB or community be read") {
+  SnmpFixture fixture;
+  CHECK(fixture.probe().Set(Id(kOpenRequests), 7)->value != "7");
+  CHECK(fixture.Get(kOpenRequests) == "0");
+  CHECK(fixture.probe().Get("1.3.6.1.2.1.1.1.0")->value == "noSuchObject");
+  CHECK(!tools::SnmpProbe(fixture.Port("snmp"), "private", 200).Get(Id(kOpenRequests)));
+  fixture.End();
 }
 
 }  // namespace
