--- a/tests/dispatch/worker_parts_test.cpp
+++ b/tests/dispatch/worker_parts_test.cpp
@@ -63,17 +63,11 @@
   EXPECT_DOUBLE_EQ(*FreeSlotsIn(report, 4.0), 2.0);
 }
 
-LoadReport FreeSlots(double free_slots) {
-  LoadReport report;
-  report.free_slots = free_slots;
-  return report;
-}
-
 TEST(WorkerEstimates, AReportLosesWeightAsItAges) {
   ModuleParts parts;
   parts.Apply({Entry("a"), Entry("b")});
-  parts.estimates.RecordReport(0, FreeSlots(8.0));
-  parts.estimates.RecordReport(0, FreeSlots(0.0));
+  parts.estimates.RecordReport(0, ReportOfFreeSlots(8.0));
+  parts.estimates.RecordReport(0, ReportOfFreeSlots(0.0));
   const double soon = parts.estimates.FreeSlots(parts.fleet.worker(0));
   parts.Advance(10 * kSecond);
   const double later = parts.estimates.FreeSlots(parts.fleet.worker(0));
@@ -84,7 +78,7 @@
 TEST(WorkerEstimates, ARejectingWorkerCountsAsFull) {
   ModuleParts parts;
   parts.Apply({Entry("a"), Entry("b")});
-  parts.estimates.RecordReport(0, FreeSlots(4.0));
+  parts.estimates.RecordReport(0, ReportOfFreeSlots(4.0));
   parts.estimates.RecordRejection(&parts.fleet.worker(0));
   EXPECT_LT(parts.estimates.FreeSlots(parts.fleet.worker(0)), -3.0);
   EXPECT_GT(parts.estimates.FreeSlots(parts.fleet.worker(1)), 3.0);
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -25,6 +25,15 @@
   return entry;
 }
 
+// The names of the classes of BasicSettings().
+constexpr const char* kClasses[] = {"repeatable", "keyed", "unsafe"};
+
+inline LoadReport ReportOfFreeSlots(double free_slots) {
+  LoadReport report;
+  report.free_slots = free_slots;
+  return report;
+}
+
 // One class of each kind, two zones, no tenants, everything allowed.
 inline Settings BasicSettings() {
   Settings s;
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int kWorkers = 12;
-constexpr const char* kClasses[] = {"repeatable", "keyed", "unsafe", "unheard-of"};
+constexpr const char* kClassNames[] = {"repeatable", "keyed", "unsafe", "unheard-of"};
 
 struct Ledger {
   struct Sent {
@@ -129,7 +129,7 @@
         if (known != ledgers.end())
           break;
         Ledger& l = ledgers[id];
-        l.job_class = kClasses[draw(4)];
+        l.job_class = kClassNames[draw(4)];
         const Micros left = draw(2 * kSecond);
         l.deadline = left > 0 ? d.now + left : 0;
         Arrival a;
