--- /dev/null
+++ b/src/simulator_adapter/action_writer.h
@@ -0,0 +1,20 @@
+// Writes actions and faults as lines.
+#ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_ACTION_WRITER_H_
+#define ALDERSILL_SRC_SIMULATOR_ADAPTER_ACTION_WRITER_H_
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include "aldersill/dispatch/dispatcher.h"
+
+namespace aldersill::simulator_adapter {
+
+// Appends the line of one action with its line end.
+void WriteAction(std::int64_t instance, const dispatch::Action& action, std::string* out);
+// Appends the line that reports that an instance has failed, with its line end.
+void WriteFault(std::int64_t instance, std::string_view message, std::string* out);
+
+}  // namespace aldersill::simulator_adapter
+
+#endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_ACTION_WRITER_H_
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -8,7 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "simulator_adapter/codec.h"
+#include "simulator_adapter/action_writer.h"
+#include "simulator_adapter/event_parser.h"
+#include "simulator_adapter/line.h"
+#include "simulator_adapter/settings_parser.h"
 
 namespace aldersill::simulator_adapter {
 namespace {
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/line.h
@@ -1,18 +1,16 @@
-// The simulator's line format: tab-separated name=value fields after a tag. Parses events and settings,
-// writes actions and decides nothing.
-#ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
-#define ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
+// A line of the simulator's format: a tag, then tab-separated name=value fields.
+#ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_LINE_H_
+#define ALDERSILL_SRC_SIMULATOR_ADAPTER_LINE_H_
 
+#include <charconv>
 #include <cstdint>
 #include <stdexcept>
 #include <string>
 #include <string_view>
-#include <unordered_map>
+#include <system_error>
 #include <utility>
 #include <vector>
 
-#include "aldersill/dispatch/dispatcher.h"
-
 namespace aldersill::simulator_adapter {
 
 // Malformed input; the text names what is wrong, the server adds the line number.
@@ -43,26 +41,22 @@
   std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// How an instance begins.
-struct InstanceSettings {
-  std::uint64_t seed = 0;
-  dispatch::Settings settings;
-};
+// Throws FormatError: the field is not what was wanted.
+[[noreturn]] void ThrowMalformed(std::string_view name, std::string_view value, std::string_view wanted);
 
-InstanceSettings ParseInstanceSettings(const Line& line);
-dispatch::WorkerEntry ParseWorker(const Line& line);
-dispatch::WorkerList::Form ParseListForm(const Line& line);
-dispatch::Arrival ParseArrival(const Line& line);
-dispatch::StreamStarted ParseStreamStarted(const Line& line);
-dispatch::Progress ParseProgress(const Line& line);
-dispatch::AttemptEnded ParseAttemptEnded(const Line& line);
-dispatch::ProbeDone ParseProbeDone(const Line& line);
+// The whole value as a number; throws FormatError naming the field.
+template <typename T>
+T ParseAs(std::string_view name, std::string_view value, std::string_view wanted) {
+  T parsed{};
+  const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parsed);
+  if (error != std::errc() || end != value.data() + value.size())
+    ThrowMalformed(name, value, wanted);
+  return parsed;
+}
 
-// Appends the line of one action with its line end.
-void WriteAction(std::int64_t instance, const dispatch::Action& action, std::string* out);
-// Appends the line that reports that an instance has failed, with its line end.
-void WriteFault(std::int64_t instance, std::string_view message, std::string* out);
+// As ParseAs; infinities and NaN are malformed.
+double ParseNumber(std::string_view name, std::string_view value);
 
 }  // namespace aldersill::simulator_adapter
 
-#endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_CODEC_H_
+#endif  // ALDERSILL_SRC_SIMULATOR_ADAPTER_LINE_H_
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -4,7 +4,6 @@
 #include <sstream>
 #include <string>
 
-#include "simulator_adapter/codec.h"
 #include "simulator_adapter/host.h"
 
 namespace aldersill::simulator_adapter {
