--- a/tests/fleet/checker_test.cpp
+++ b/tests/fleet/checker_test.cpp
@@ -94,7 +94,7 @@
     const char* rule;
     std::size_t at;  // where the defect is put into the good run
     Observation planted;
-  } kDefects[] = {
+  } defects[] = {
       {"answered twice", 8, Answer("a", 503)},
       {"cobro ran twice", 5, Seen(Kind::kJobStarted, "a")},
       {"two attempts open at once", 2, Attempt("a", 9)},
@@ -102,7 +102,7 @@
       {"attempted without a client's request", 8, Attempt("b", 9)},
       {"never answered", 0, Sent("c", "cobro")},
   };
-  for (const auto& defect : kDefects) {
+  for (const auto& defect : defects) {
     CAPTURE(defect.rule);
     Observations run = Good("cobro");
     run.insert(run.begin() + static_cast<std::ptrdiff_t>(defect.at), defect.planted);
--- a/tests/fleet/cluster_membership.cpp
+++ b/tests/fleet/cluster_membership.cpp
@@ -1,8 +1,7 @@
 #include "fleet/cluster_membership.h"
 
-#include <stdlib.h>
-
 #include <algorithm>
+#include <cstdlib>
 #include <fstream>
 #include <stdexcept>
 #include <system_error>
--- a/tests/fleet/control_request.cpp
+++ b/tests/fleet/control_request.cpp
@@ -38,7 +38,7 @@
     return;
   std::string answer(line, size);
   std::free(line);
-  static_cast<ControlRequest*>(arg)->Finish(std::move(answer));
+  static_cast<ControlRequest*>(arg)->Finish(answer);
 }
 
 void ControlRequest::OnEvent(bufferevent*, short what, void* arg) {
@@ -46,7 +46,7 @@
     static_cast<ControlRequest*>(arg)->Finish("");
 }
 
-void ControlRequest::Finish(std::string answer) {
+void ControlRequest::Finish(const std::string& answer) {
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
   connect_failed_.Clear();
   const Callback done = std::exchange(done_, nullptr);
--- a/tests/fleet/control_request.h
+++ b/tests/fleet/control_request.h
@@ -20,7 +20,7 @@
  private:
   static void OnRead(bufferevent* stream, void* self);
   static void OnEvent(bufferevent* stream, short what, void* self);
-  void Finish(std::string answer);
+  void Finish(const std::string& answer);
 
   Callback done_;
   EventPtr<bufferevent> stream_;
--- a/tests/fleet/datagram_links.cpp
+++ b/tests/fleet/datagram_links.cpp
@@ -57,7 +57,7 @@
   links->Forward({(*from)->dispatcher, endpoint->dispatcher, std::move(bytes)});
 }
 
-void DatagramLinks::Forward(Datagram datagram) {
+void DatagramLinks::Forward(const Datagram& datagram) {
   const Impairment& impairment = impairments_[{datagram.from, datagram.to}];
   // All numbers are drawn in any case, so that an impairment does not change the draws for later datagrams.
   const int loss_draw = static_cast<int>(random_(100));
--- a/tests/fleet/datagram_links.h
+++ b/tests/fleet/datagram_links.h
@@ -54,7 +54,7 @@
     std::string bytes;
   };
   static void OnReadable(evutil_socket_t fd, short, void* endpoint);
-  void Forward(Datagram datagram);
+  void Forward(const Datagram& datagram);
   void SendDue();
 
   std::vector<std::unique_ptr<Endpoint>> endpoints_;
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -58,14 +58,14 @@
 void CheckRun(const Timetable& table, Outcome* outcome) {
   std::vector<std::string>& violations = outcome->verdict.violations;
   if (outcome->run.unexpected_exits > 0)
-    violations.push_back("a dispatcher ended by itself, or after SIGTERM with a status other than 0");
+    violations.emplace_back("a dispatcher ended by itself, or after SIGTERM with a status other than 0");
   if (!outcome->run.converged)
-    violations.push_back(
+    violations.emplace_back(
         "with all faults over, the dispatchers did not come to know one another, one to hold the lease, and "
         "each worker to be health checked by one");
   // A run in which nothing happened would pass any rule.
   if (outcome->verdict.requests < table.requests / 2 || outcome->verdict.served == 0)
-    violations.push_back("too few requests were sent or served");
+    violations.emplace_back("too few requests were sent or served");
 }
 
 Outcome RunAndCheck(const Timetable& table, const std::string& program) {
--- a/tests/fleet/service_clients.cpp
+++ b/tests/fleet/service_clients.cpp
@@ -14,7 +14,7 @@
 constexpr int kMinDeadlineMs = 400, kMaxDeadlineMs = 3'000;
 constexpr std::uint32_t kOneLeavesOf = 12;
 constexpr Micros kAnswerSlack = 58 * kMillisecond;
-constexpr std::size_t kFloodBytes = 256 * 1024;
+constexpr std::size_t kFloodBytes = std::size_t{256} * 1024;
 constexpr int kIdleMs = 200;  // for which connections are idle before SIGTERM
 constexpr int kTurnsBeforeTerm = 10;
 constexpr int kCostPerMeanMs = 500;  // of the sum of the shortest and the longest time
@@ -110,6 +110,7 @@
 
 void ServiceClients::SendDuringShutdown(int dispatcher, int count, int for_ms) {
   std::vector<Client*> clients;
+  clients.reserve(static_cast<std::size_t>(count));
   for (int index = 0; index < count; ++index)
     clients.push_back(AddIdleConnection(index, dispatcher));
   context_.scheduler.RunIn(kIdleMs, [this, dispatcher, clients, for_ms] {
--- a/tests/fleet/timetable.cpp
+++ b/tests/fleet/timetable.cpp
@@ -183,11 +183,11 @@
     table_.length_ms = kDiscoveryFailuresLengthMs;
     table_.requests = 900;
     const int drains_at_ms = draws_.Between(700, 900);
-    constexpr std::array kKinds = {FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses,
-                                   FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryRefused,
-                                   FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses};
+    constexpr std::array kinds = {FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses,
+                                  FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryRefused,
+                                  FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses};
     int dispatcher = first;
-    for (const FaultKind kind : kKinds) {
+    for (const FaultKind kind : kinds) {
       Fault fault = {.kind = kind, .dispatcher = dispatcher++, .worker = kAllWorkers};
       DrawDiscoveryFailureTimes(&fault);
       Add(fault);
