--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,8 +10,8 @@
 namespace aldersill {
 
 std::string OperatorFilePath() {
-  const std::string settings = ReadEnvironment("ALDERSILL_SETTINGS", "");
-  const std::string fronts = ReadEnvironment("ALDERSILL_FRONTS", "");
+  std::string settings = ReadEnvironment("ALDERSILL_SETTINGS", "");
+  std::string fronts = ReadEnvironment("ALDERSILL_FRONTS", "");
   if (!settings.empty() && !fronts.empty())
     throw ConfigError("ALDERSILL_SETTINGS and ALDERSILL_FRONTS are both set: the first replaces the second");
   if (!settings.empty())
--- a/src/config/platform_fields.cpp
+++ b/src/config/platform_fields.cpp
@@ -47,7 +47,7 @@
 
 // Every field that the platform's pages name, whether it is read or not, so that misspelt fields are found.
 const std::set<std::string>& PlatformFields() {
-  static const std::set<std::string> kFields = [] {
+  static const std::set<std::string> all_fields = [] {
     std::set<std::string> fields;
     for (const FieldGroup& group : kFieldGroups) {
       for (const char* name : group.names)
@@ -55,7 +55,7 @@
     }
     return fields;
   }();
-  return kFields;
+  return all_fields;
 }
 
 // The names of the fields directly below `prefix`, which ends with a dot or is empty.
@@ -95,11 +95,12 @@
 FieldPaths PathsOf(const Json& json, const std::string& path);
 
 FieldPaths PathsOfObject(const Json& object, const std::string& path) {
+  const std::string prefix = path.empty() ? "" : path + ".";
   FieldPaths paths;
   for (const auto& [name, value] : object.items()) {
     if (value.is_null())
       continue;
-    const std::string child_path = path.empty() ? name : path + "." + name;
+    const std::string child_path = prefix + name;
     paths.fields.insert(child_path);
     FieldPaths child = PathsOf(value, child_path);
     paths.fields.merge(child.fields);
--- a/src/config/yaml_section_reader.cpp
+++ b/src/config/yaml_section_reader.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-YamlSectionReader::YamlSectionReader(YAML::Node map, std::string path, const std::string& file)
-    : map_(std::move(map)), path_(std::move(path)), file_(file) {
+YamlSectionReader::YamlSectionReader(const YAML::Node& map, std::string path, const std::string& file)
+    : map_(map), path_(std::move(path)), file_(file) {
   if (map_.IsNull())
     map_ = YAML::Node(YAML::NodeType::Map);
   if (!map_.IsMap())
--- a/src/config/yaml_section_reader.h
+++ b/src/config/yaml_section_reader.h
@@ -23,7 +23,7 @@
  public:
   // `path`: of the section; empty for the whole file. `file`: its name in errors; must outlive the reader.
   // Throws BadValue if `map` is no map or has a field twice.
-  YamlSectionReader(YAML::Node map, std::string path, const std::string& file);
+  YamlSectionReader(const YAML::Node& map, std::string path, const std::string& file);
 
   void Bool(const char* name, bool& value);
   void Int(const char* name, int& value, int min, int max);
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -22,8 +22,8 @@
 
 // A Gauge32 stays at its maximum if the value exceeds it.
 Gauge ToGauge(std::uint64_t value) {
-  constexpr std::uint64_t kMaxGauge = std::numeric_limits<std::uint32_t>::max();
-  return {static_cast<std::uint32_t>(std::min(value, kMaxGauge))};
+  constexpr std::uint64_t max_gauge = std::numeric_limits<std::uint32_t>::max();
+  return {static_cast<std::uint32_t>(std::min(value, max_gauge))};
 }
 
 // Adds the cells of one row of a table, from its first readable column on.
