--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -1,8 +1,7 @@
 #include "cli/command_line.h"
 
-#include <signal.h>
-
 #include <CLI/CLI.hpp>
+#include <csignal>
 #include <exception>
 #include <string>
 #include <vector>
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -20,6 +20,7 @@
 constexpr LineServer::Limits kServerLimits{8, 128, 2 * kSecond};
 constexpr int kBacklog = 8;
 constexpr timeval kQueryTimeout{5, 0};
+constexpr mode_t kOthersAccess = 0177;  // masked out: all but the owner's reading and writing
 constexpr std::size_t kMaxAnswerBytes = std::size_t{1} << 24;
 
 // Throws for a path that is too long.
@@ -47,9 +48,8 @@
 
 // Creates the socket's file with access for its owner alone.
 UniqueDescriptor BindForOwner(const std::string& path, const sockaddr_un& address) {
-  constexpr mode_t kNotOwner = 0177;
   UniqueDescriptor bound(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const mode_t previous_mask = umask(kNotOwner);
+  const mode_t previous_mask = umask(kOthersAccess);
   const int result = bind(bound.get(), ToGenericAddress(address), sizeof(address));
   const int error = errno;
   umask(previous_mask);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,9 +1,8 @@
 #include "daemon/daemon.h"
 
-#include <signal.h>
-
 #include <algorithm>
 #include <chrono>
+#include <csignal>
 #include <stdexcept>
 #include <utility>
 
--- a/src/upgrade/descriptor_channel.cpp
+++ b/src/upgrade/descriptor_channel.cpp
@@ -15,7 +15,8 @@
 namespace {
 
 constexpr std::size_t kMaxDescriptors = 2;
-constexpr std::size_t kMaxMessageBytes = 256 * 1024;  // a body of 64 KiB, a head, and a response's beginning
+constexpr std::size_t kMaxMessageBytes = std::size_t{256}
+                                         << 10;  // a body of 64 KiB, a head, and a response's beginning
 constexpr int kSocketType = SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC;
 constexpr int kBacklog = 8;
 
--- a/src/upgrade/process_group.cpp
+++ b/src/upgrade/process_group.cpp
@@ -25,13 +25,13 @@
 constexpr const char* kBansFile = "bans.json";
 constexpr const char* kBansLockFile = "bans.lock";
 constexpr const char* kNextBansSuffix = ".bans";
+constexpr mode_t kOwnerOnly = 0600;
 
 [[noreturn]] void ThrowSystemError(const std::string& what, const fs::path& path) {
   throw std::runtime_error(what + " " + path.string() + ": " + std::strerror(errno));
 }
 
 UniqueDescriptor OpenFile(const fs::path& path, int flags) {
-  constexpr mode_t kOwnerOnly = 0600;
   return UniqueDescriptor(open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly));
 }
 
