--- a/src/simulator_adapter/event_parser.cpp
+++ b/src/simulator_adapter/event_parser.cpp
@@ -22,6 +22,8 @@
 
 namespace {
 
+constexpr double kMostSlots = 1e6;  // that a job may ask for
+
 Outcome ParseOutcome(std::string_view value) {
   if (value == "delivered")
     return Outcome::kServed;
@@ -134,7 +136,6 @@
   if (line.Has("work"))
     arrival.work = line.Int("work");
   const double slots = line.NumberOr("needs", 1.0);
-  constexpr double kMostSlots = 1e6;
   if (slots < 0.0 || slots > kMostSlots)
     ThrowMalformed("needs", line.Text("needs"), "a number of slots");
   arrival.slots = std::max(1, static_cast<int>(std::ceil(slots)));
