--- a/src/faktory/session.cpp
+++ b/src/faktory/session.cpp
@@ -10,7 +10,7 @@
 namespace aldersill::faktory {
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 64 * 1024;  // as much as a body on the platform's wire
+constexpr std::size_t kMaxLineBytes = std::size_t{64} * 1024;  // as much as a body on the platform's wire
 constexpr Micros kHelloTimeout = 5 * kSecond;
 constexpr Micros kNewSessionGrace = 600 * kMillisecond;
 constexpr timeval kWriteTimeout = {120, 0};  // ends the session of a peer that does not read its replies
