--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -16,7 +16,7 @@
 void Cluster::Handle(Micros now, Event event, std::vector<Effect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
-  std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
+  std::visit([this](auto&& alternative) { Apply(std::move(alternative)); }, std::move(event));
 }
 
 Micros Cluster::next_due() const {
@@ -30,100 +30,105 @@
 
 // ---- Events ----
 
-void Cluster::On(Start&& e) {
+void Cluster::Apply(Started&& e) {
   for (std::size_t i = 0; i < settings_.exclusive.size(); ++i) {
-    duties::LeaseSettings lease{settings_.exclusive[i], settings_.membership.name, e.epoch,
-                                settings_.voters,       settings_.lease,           settings_.most_drift};
-    leases_.emplace(settings_.exclusive[i], duties::Lease(std::move(lease), seed_ + 2 + i));
+    const std::string& duty = settings_.exclusive[i];
+    duties::LeaseSettings lease{.duty = duty,
+                                .name = settings_.membership.name,
+                                .epoch = e.epoch,
+                                .voters = settings_.voters,
+                                .timespan = settings_.lease,
+                                .max_clock_drift = settings_.max_clock_drift};
+    leases_.emplace(duty, duties::Lease(std::move(lease), seed_ + 2 + i));
   }
-  ToMembership(membership::Started{e.epoch});
-  ToProbing(duties::MemberJoined{settings_.membership.name, settings_.membership.weight});
+  HandleInMembership(membership::Started{e.epoch});
+  HandleInProbing(duties::MemberJoined{settings_.membership.name, settings_.membership.weight});
   for (auto& [duty, lease] : leases_)
-    ToLease(&lease, duties::LeaseStarted{});
+    HandleInLease(&lease, duties::LeaseStarted{});
 }
 
-void Cluster::On(PacketReceived&& e) {
-  ToMembership(membership::PacketReceived{std::move(e.address), std::move(e.packet)});
+void Cluster::Apply(PacketReceived&& e) {
+  HandleInMembership(membership::PacketReceived{std::move(e.address), std::move(e.packet)});
 }
 
-void Cluster::On(TimerExpired&&) {
-  // Leases first: one that ended while this instance stood still must not outlive another's word.
+void Cluster::Apply(TimerExpired&&) {
+  // Leases first: one that expired while this process was paused must end before anything else happens.
   for (auto& [duty, lease] : leases_)
-    ToLease(&lease, duties::LeaseTime{});
+    HandleInLease(&lease, duties::LeaseTimerExpired{});
   if (membership_.next_due() <= now_)
-    ToMembership(membership::TimerExpired{});
+    HandleInMembership(membership::TimerExpired{});
   if (probing_ && probing_->next_due() <= now_)
-    ToProbing(duties::ProbeTime{});
+    HandleInProbing(duties::ProbeTimerExpired{});
 }
 
-void Cluster::On(Workers&& e) { ToProbing(duties::WorkersChanged{std::move(e.all)}); }
+void Cluster::Apply(WorkersChanged&& e) { HandleInProbing(duties::WorkersChanged{std::move(e.workers)}); }
 
-void Cluster::On(ProbeCompleted&& e) {
-  ToProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report});
+void Cluster::Apply(ProbeCompleted&& e) {
+  HandleInProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report});
 }
 
-void Cluster::On(Leave&&) {
+void Cluster::Apply(LeaveRequested&&) {
   for (auto& [duty, lease] : leases_)
-    ToLease(&lease, duties::GiveUp{});
-  ToMembership(membership::LeaveRequested{});
-  ToProbing(duties::MemberLeft{settings_.membership.name});
+    HandleInLease(&lease, duties::LeaseReleaseRequested{});
+  HandleInMembership(membership::LeaveRequested{});
+  HandleInProbing(duties::MemberLeft{settings_.membership.name});
 }
 
-// ---- What the parts ask for ----
+// ---- The parts and their effects ----
 
-void Cluster::ToMembership(membership::Event event) {
-  std::vector<membership::Effect> asked;
-  membership_.Handle(now_, std::move(event), &asked);
-  for (membership::Effect& effect : asked) {
-    std::visit([this](auto&& e) { Do(std::move(e)); }, std::move(effect));
+void Cluster::HandleInMembership(membership::Event event) {
+  std::vector<membership::Effect> effects;
+  membership_.Handle(now_, std::move(event), &effects);
+  for (membership::Effect& effect : effects) {
+    std::visit([this](auto&& alternative) { Perform(std::move(alternative)); }, std::move(effect));
   }
 }
 
-void Cluster::ToProbing(duties::ProbeEvent event) {
+void Cluster::HandleInProbing(duties::ProbeEvent event) {
   if (!probing_)
     return;
-  std::vector<duties::ProbeEffect> asked;
-  probing_->Handle(now_, std::move(event), &asked);
-  for (duties::ProbeEffect& effect : asked) {
-    std::visit([this](auto&& e) { Do(std::move(e)); }, std::move(effect));
+  std::vector<duties::ProbeEffect> effects;
+  probing_->Handle(now_, std::move(event), &effects);
+  for (duties::ProbeEffect& effect : effects) {
+    std::visit([this](auto&& alternative) { Perform(std::move(alternative)); }, std::move(effect));
   }
 }
 
-void Cluster::ToLease(duties::Lease* lease, duties::LeaseEvent event) {
-  std::vector<duties::LeaseEffect> asked;
-  lease->Handle(now_, std::move(event), &asked);
+void Cluster::HandleInLease(duties::Lease* lease, duties::LeaseEvent event) {
+  std::vector<duties::LeaseEffect> effects;
+  lease->Handle(now_, std::move(event), &effects);
   const std::string& duty = lease->settings().duty;
-  for (duties::LeaseEffect& effect : asked) {
-    if (auto* send = std::get_if<duties::SendTo>(&effect)) {
-      ToMembership(membership::DirectMessageRequested{
+  for (duties::LeaseEffect& effect : effects) {
+    if (auto* send = std::get_if<duties::SendLeaseMessage>(&effect)) {
+      HandleInMembership(membership::DirectMessageRequested{
           send->to, duties::EncodeMessage(duties::DutyMessage{duty, std::move(send->message)})});
-    } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
+    } else if (const auto* taken = std::get_if<duties::LeaseAcquired>(&effect)) {
       effects_->push_back(LeaseChange{duty, true, taken->term});
     } else {
-      effects_->push_back(LeaseChange{duty, false, std::get<duties::Lost>(effect).term});
+      effects_->push_back(LeaseChange{duty, false, std::get<duties::LeaseLost>(effect).term});
     }
   }
 }
 
-void Cluster::Do(membership::SendPacket&& e) {
-  effects_->push_back(Send{std::move(e.address), std::move(e.packet)});
+void Cluster::Perform(membership::SendPacket&& e) {
+  effects_->push_back(SendPacket{std::move(e.address), std::move(e.packet)});
 }
 
-void Cluster::Do(membership::MembershipChange&& e) {
+void Cluster::Perform(membership::MembershipChange&& e) {
   using What = membership::MembershipChange::What;
   effects_->push_back(e);
   switch (e.what) {
     case What::kDead:
     case What::kLeft:
-      return ToProbing(duties::MemberLeft{e.member.name});
-    case What::kSuspect:  // it may yet speak up, and its duties are its own until then
+      return HandleInProbing(duties::MemberLeft{e.member.name});
+    case What::kSuspect:  // it may refute this, and keeps its duties until then
       return;
     default:
-      return ToProbing(duties::MemberJoined{e.member.name, e.member.weight});
+      return HandleInProbing(duties::MemberJoined{e.member.name, e.member.weight});
   }
 }
 
-void Cluster::Do(membership::GossipReceived&& e) {
+void Cluster::Perform(membership::GossipReceived&& e) {
   if (!probing_)
     return;
   auto result = duties::DecodeResult(e.message.key, e.message.body);
@@ -131,27 +136,27 @@
     ++malformed_;
     return;
   }
-  ToProbing(duties::ProbeResultReceived{std::move(*result)});
+  HandleInProbing(duties::ProbeResultReceived{std::move(*result)});
 }
 
-void Cluster::Do(membership::DirectMessageReceived&& e) {
+void Cluster::Perform(membership::DirectMessageReceived&& e) {
   auto message = duties::DecodeMessage(e.body);
   const auto lease = message ? leases_.find(message->duty) : leases_.end();
   if (lease == leases_.end()) {
     ++malformed_;
     return;
   }
-  ToLease(&lease->second, duties::LeaseMessageReceived{e.from, std::move(message->message)});
+  HandleInLease(&lease->second, duties::LeaseMessageReceived{e.from, std::move(message->message)});
 }
 
-void Cluster::Do(duties::StartProbe&& e) {
-  effects_->push_back(Probe{e.number, std::move(e.worker), std::move(e.address)});
+void Cluster::Perform(duties::StartProbe&& e) {
+  effects_->push_back(StartProbe{e.number, std::move(e.worker), std::move(e.address)});
 }
 
-void Cluster::Do(duties::BroadcastResult&& e) {
-  ToMembership(membership::BroadcastRequested{{e.result.worker, duties::EncodeResult(e.result)}});
+void Cluster::Perform(duties::BroadcastResult&& e) {
+  HandleInMembership(membership::BroadcastRequested{{e.result.worker, duties::EncodeResult(e.result)}});
 }
 
-void Cluster::Do(duties::DeliverResult&& e) { effects_->push_back(Result{std::move(e.result)}); }
+void Cluster::Perform(duties::DeliverResult&& e) { effects_->push_back(DeliverResult{std::move(e.result)}); }
 
 }  // namespace aldersill::cluster
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,5 +1,5 @@
-// Membership and the duties over it as one core: (now, event) -> effects, no socket, no clock. The daemon's
-// part and the virtual cluster of the tests drive this same class.
+// Membership and the duties that build on it as one pure core: (now, event) -> effects, without sockets and
+// clocks. The daemon's component and the tests' virtual cluster drive the same class.
 #ifndef ALDERSILL_SRC_CLUSTER_CLUSTER_H_
 #define ALDERSILL_SRC_CLUSTER_CLUSTER_H_
 
@@ -20,25 +20,25 @@
 
 struct Settings {
   membership::Settings membership;
-  std::optional<duties::ProbeSettings> probing;  // none: not shared
-  std::vector<std::string> exclusive;            // duties that one instance at a time holds
-  std::vector<std::string> voters;               // who decides on them, the same at all instances
-  Micros lease = 10 * kSecond;
-  double most_drift = 0.01;
+  std::optional<duties::ProbeSettings> probing;  // none: probing is not shared
+  std::vector<std::string> exclusive;            // duties that one member at a time holds
+  std::vector<std::string> voters;               // members that vote on their leases, the same at all
+  Micros lease = 10 * kSecond;                   // the leases' timespan
+  double max_clock_drift = 0.01;                 // of a clock's rate, either way
 };
 
 // ---- Events ----
 
-struct Start {
-  std::uint64_t epoch = 0;  // Unix milliseconds at which this life began
+struct Started {
+  std::uint64_t epoch = 0;  // Unix milliseconds at which this process started
 };
 struct PacketReceived {
   std::string address;
   membership::Packet packet;
 };
 struct TimerExpired {};  // next_due() is reached
-struct Workers {
-  std::vector<std::pair<std::string, std::string>> all;  // (name, address)
+struct WorkersChanged {
+  std::vector<std::pair<std::string, std::string>> workers;  // the complete list, as (name, address)
 };
 struct ProbeCompleted {
   std::uint64_t number = 0;
@@ -46,21 +46,22 @@
   Micros elapsed = 0;
   LoadReport report;
 };
-struct Leave {};  // for good: leases are released, shared duties pass on at once
-using Event = std::variant<Start, PacketReceived, TimerExpired, Workers, ProbeCompleted, Leave>;
+struct LeaveRequested {};  // for good: leases are released, and other members take over shared duties at once
+using Event =
+    std::variant<Started, PacketReceived, TimerExpired, WorkersChanged, ProbeCompleted, LeaveRequested>;
 
 // ---- Effects ----
 
-struct Send {
+struct SendPacket {
   std::string address;
   membership::Packet packet;
 };
-struct Probe {
+struct StartProbe {
   std::uint64_t number = 0;
   std::string worker;
   std::string address;
 };
-struct Result {  // for this instance's decision module
+struct DeliverResult {  // to this member's decision module
   duties::ProbeResult result;
 };
 struct LeaseChange {
@@ -68,7 +69,7 @@
   bool taken = false;  // else lost
   std::uint64_t term = 0;
 };
-using Effect = std::variant<Send, Probe, Result, membership::MembershipChange, LeaseChange>;
+using Effect = std::variant<SendPacket, StartProbe, DeliverResult, membership::MembershipChange, LeaseChange>;
 
 class Cluster {
  public:
@@ -78,30 +79,33 @@
   Micros next_due() const;
 
   const membership::Membership& members() const { return membership_; }
-  // Null where probing is not shared.
+  // Null if probing is not shared.
   const duties::ProbeSharing* probing() const { return probing_ ? &*probing_ : nullptr; }
   const std::map<std::string, duties::Lease>& leases() const { return leases_; }
-  std::uint64_t malformed() const { return malformed_; }  // of duties' messages in authentic packets
+  std::uint64_t malformed() const {
+    return malformed_;
+  }  // duty messages and probe results in authentic packets
 
  private:
-  void On(Start&& e);
-  void On(PacketReceived&& e);
-  void On(TimerExpired&& e);
-  void On(Workers&& e);
-  void On(ProbeCompleted&& e);
-  void On(Leave&& e);
-
-  void Do(membership::SendPacket&& e);
-  void Do(membership::MembershipChange&& e);
-  void Do(membership::GossipReceived&& e);
-  void Do(membership::DirectMessageReceived&& e);
-  void Do(duties::StartProbe&& e);
-  void Do(duties::BroadcastResult&& e);
-  void Do(duties::DeliverResult&& e);
-
-  void ToMembership(membership::Event event);
-  void ToProbing(duties::ProbeEvent event);
-  void ToLease(duties::Lease* lease, duties::LeaseEvent event);
+  void Apply(Started&& e);
+  void Apply(PacketReceived&& e);
+  void Apply(TimerExpired&& e);
+  void Apply(WorkersChanged&& e);
+  void Apply(ProbeCompleted&& e);
+  void Apply(LeaveRequested&& e);
+
+  void Perform(membership::SendPacket&& e);
+  void Perform(membership::MembershipChange&& e);
+  void Perform(membership::GossipReceived&& e);
+  void Perform(membership::DirectMessageReceived&& e);
+  void Perform(duties::StartProbe&& e);
+  void Perform(duties::BroadcastResult&& e);
+  void Perform(duties::DeliverResult&& e);
+
+  // Hand an event to one part and carry out its effects.
+  void HandleInMembership(membership::Event event);
+  void HandleInProbing(duties::ProbeEvent event);
+  void HandleInLease(duties::Lease* lease, duties::LeaseEvent event);
 
   const Settings settings_;
   const std::uint64_t seed_;
--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -22,13 +22,13 @@
   if (core == nullptr)
     return {{"enabled", false}};
   nlohmann::json members = nlohmann::json::array();
-  for (const auto& [name, said] : core->members().View()) {
+  for (const auto& [name, member] : core->members().View()) {
     members.push_back({{"name", name},
-                       {"address", said.address},
-                       {"state", Name(said.state)},
-                       {"epoch", said.incarnation.epoch},
-                       {"turn", said.incarnation.turn},
-                       {"weight", said.weight},
+                       {"address", member.address},
+                       {"state", Name(member.state)},
+                       {"epoch", member.incarnation.epoch},
+                       {"turn", member.incarnation.turn},
+                       {"weight", member.weight},
                        {"self", name == core->members().settings().name}});
   }
   return {{"enabled", true}, {"health", core->members().health()}, {"members", std::move(members)}};
@@ -44,17 +44,17 @@
                        {"workers", probing->workers()},
                        {"started", c.started},
                        {"takeovers", c.takeovers},
-                       {"heard", c.heard},
+                       {"heard", c.results_received},
                        {"overdue", c.overdue},
-                       {"slept_through", c.slept_through}};
+                       {"slept_through", c.ended_while_paused}};
   }
   for (const auto& [duty, lease] : core->leases()) {
     const auto term = lease.Holds(now);
-    const auto believed = lease.Believed(now);
+    const auto holder = lease.KnownHolder(now);
     json["exclusive"].push_back({{"duty", duty},
                                  {"held", term.has_value()},
                                  {"term", term.value_or(0)},
-                                 {"holder", believed ? believed->name : ""}});
+                                 {"holder", holder ? holder->name : ""}});
   }
   return json;
 }
@@ -62,8 +62,8 @@
 void AddObjects(const Cluster& core, const membership::TransportCounters& t, const membership::Sealer& sealer,
                 Micros now, snmp::ObjectMap* objects) {
   std::array<std::uint32_t, 4> by_state{};
-  for (const auto& [name, said] : core.members().View())
-    ++by_state[static_cast<std::size_t>(said.state)];
+  for (const auto& [name, member] : core.members().View())
+    ++by_state[static_cast<std::size_t>(member.state)];
   std::uint64_t column = 0;
   const auto scalar = [&](snmp::Value value) { (*objects)[{5, ++column, 0}] = std::move(value); };
   for (const std::uint32_t members : by_state)
@@ -77,13 +77,13 @@
   const duties::ProbeCounters c = probing != nullptr ? probing->counters() : duties::ProbeCounters{};
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->owned() : 0)});
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->workers() : 0)});
-  for (const std::uint64_t count : {c.started, c.takeovers, c.heard})
+  for (const std::uint64_t count : {c.started, c.takeovers, c.results_received})
     scalar(snmp::Counter{count});
   std::uint32_t held = 0;
   std::uint64_t taken = 0, lost = 0;
   for (const auto& [duty, lease] : core.leases()) {
     held += lease.Holds(now).has_value();
-    taken += lease.counters().taken;
+    taken += lease.counters().acquired;
     lost += lease.counters().lost;
   }
   scalar(snmp::Gauge{held});
@@ -91,7 +91,7 @@
   scalar(snmp::Counter{lost});
   for (const std::uint64_t count : {t.sent, t.sent_bytes, t.received, t.received_bytes, t.unsent})
     scalar(snmp::Counter{count});
-  // Datagrams dropped, by why.
+  // Dropped datagrams by reason.
   const auto& dropped = sealer.dropped();
   for (std::size_t i = 0; i < dropped.size(); ++i) {
     (*objects)[{6, 1, 2, i + 1}] = std::string(membership::Name(static_cast<membership::DropReason>(i)));
--- a/src/cluster/objects.h
+++ b/src/cluster/objects.h
@@ -1,4 +1,4 @@
-// What is shown of the cluster: to `aldersill members` and `duties`, and in the MIB.
+// The cluster's state for operators: the answers of `aldersill members` and `duties`, and the MIB objects.
 #ifndef ALDERSILL_SRC_CLUSTER_OBJECTS_H_
 #define ALDERSILL_SRC_CLUSTER_OBJECTS_H_
 
@@ -13,7 +13,7 @@
 const char* Name(membership::State state);
 const char* Name(membership::MembershipChange::What what);
 
-// `core`: null where membership is off, which both say.
+// `core`: null if membership is off; the answer is then {"enabled": false}.
 nlohmann::json MembersAsJson(const Cluster* core);
 nlohmann::json DutiesAsJson(const Cluster* core, Micros now);
 void AddObjects(const Cluster& core, const membership::TransportCounters& wire,
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -35,7 +35,7 @@
   settings.exclusive = config.own.duties.exclusive;
   settings.voters = config.own.duties.voters;
   settings.lease = config.own.duties.lease;
-  settings.most_drift = config.own.duties.most_drift;
+  settings.max_clock_drift = config.own.duties.most_drift;
   return settings;
 }
 
@@ -74,7 +74,7 @@
       return;
     Log(LogLevel::kInfo, kListenerLogEvent,
         {{"name", "membership"}, {"address", ToText(ListenAddress())}, {"advertised", advertised_address_}});
-    Post(cluster::Start{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
+    Post(cluster::Started{static_cast<std::uint64_t>(context_.now() / kMillisecond)});
     PostWorkersIfChanged();
   }
 
@@ -97,7 +97,7 @@
 
   void BeginDrain() override {
     if (core_ != nullptr)
-      Post(cluster::Leave{});
+      Post(cluster::LeaveRequested{});
   }
 
  private:
@@ -156,14 +156,14 @@
       std::visit([this](const auto& typed_effect) { Perform(typed_effect); }, effect);
   }
 
-  void Perform(const cluster::Send& send) { transport_->Send(send.address, send.packet); }
-  void Perform(const cluster::Probe& probe) {
+  void Perform(const cluster::SendPacket& send) { transport_->Send(send.address, send.packet); }
+  void Perform(const cluster::StartProbe& probe) {
     context_.registry->probe_with_callback(
         {probe.worker, probe.address}, [this, number = probe.number](const ProbeCompleted& completed) {
           Post(cluster::ProbeCompleted{number, completed.outcome, completed.elapsed, completed.report});
         });
   }
-  void Perform(const cluster::Result& shared) {
+  void Perform(const cluster::DeliverResult& shared) {
     const auto& result = shared.result;
     context_.sink->Post(ProbeCompleted{result.worker, result.outcome, result.elapsed, result.report});
   }
@@ -188,12 +188,12 @@
     if (std::exchange(posted_list_updates_, updates) != updates)
       Post(ReadyWorkers());
   }
-  cluster::Workers ReadyWorkers() const {
-    cluster::Workers workers;
+  cluster::WorkersChanged ReadyWorkers() const {
+    cluster::WorkersChanged workers;
     for (const auto& [name, worker] : context_.reducer->endpoints()) {
       if (worker.source == WorkerEndpoint::Source::kDiscovery &&
           worker.state == WorkerEndpoint::State::kReady)
-        workers.all.emplace_back(name, worker.address);
+        workers.workers.emplace_back(name, worker.address);
     }
     return workers;
   }
--- a/src/duties/codec.cpp
+++ b/src/duties/codec.cpp
@@ -8,65 +8,72 @@
 namespace aldersill::duties {
 namespace {
 
+// The figures of a report in the order of the mask's bits.
 constexpr std::array<std::optional<double> LoadReport::*, 7> kFigures = {
     &LoadReport::in_work,      &LoadReport::waiting,      &LoadReport::cpu_share, &LoadReport::service_ms,
     &LoadReport::served_per_s, &LoadReport::errors_per_s, &LoadReport::free_slots};
 constexpr std::uint8_t kOutcomes = static_cast<std::uint8_t>(Outcome::kNotSent) + 1;
 
-void Put(MessagePacker& out, const Ballot& b) { out.pack(b.number), out.pack(b.name); }
-void Put(MessagePacker& out, const Holder& h) { out.pack(h.name), out.pack(h.epoch); }
-Ballot TakeBallot(MessageFields& in) {
-  Ballot b;
-  b.number = in.Number53(), b.name = in.Name();
-  return b;
+void Pack(MessagePacker& out, const Ballot& ballot) {
+  out.pack(ballot.number);
+  out.pack(ballot.name);
 }
-Holder TakeHolder(MessageFields& in) {
-  Holder h;
-  h.name = in.Name(), h.epoch = in.Number53();
-  return h;
+void Pack(MessagePacker& out, const Holder& holder) {
+  out.pack(holder.name);
+  out.pack(holder.epoch);
 }
+// Braced initializers are evaluated in order: the order of the fields in the message.
+Ballot TakeBallot(MessageFields& in) { return {in.Number53(), in.Name()}; }
+Holder TakeHolder(MessageFields& in) { return {in.Name(), in.Number53()}; }
 
-void PutMessage(MessagePacker& out, const Prepare& m) { Put(out, m.ballot); }
-void PutMessage(MessagePacker& out, const Promise& m) {
-  Put(out, m.ballot), out.pack(m.held_by.has_value());
-  Put(out, m.held_by.value_or(Holder{"-", 0})), out.pack(m.left);
+// Written in place of a promise's holder where there is none: every field is always present.
+const Holder kNoHolder{"-", 0};
+
+void PackMessageFields(MessagePacker& out, const Prepare& prepare) { Pack(out, prepare.ballot); }
+void PackMessageFields(MessagePacker& out, const Promise& promise) {
+  Pack(out, promise.ballot);
+  out.pack(promise.lease_holder.has_value());
+  Pack(out, promise.lease_holder.value_or(kNoHolder));
+  out.pack(promise.remaining);
+}
+void PackMessageFields(MessagePacker& out, const Propose& propose) {
+  Pack(out, propose.ballot);
+  Pack(out, propose.holder);
+  out.pack(propose.timespan);
 }
-void PutMessage(MessagePacker& out, const Propose& m) {
-  Put(out, m.ballot), Put(out, m.holder), out.pack(m.lease);
+void PackMessageFields(MessagePacker& out, const Accepted& accepted) { Pack(out, accepted.ballot); }
+void PackMessageFields(MessagePacker& out, const Rejected& rejected) {
+  Pack(out, rejected.ballot);
+  Pack(out, rejected.promised);
 }
-void PutMessage(MessagePacker& out, const Accepted& m) { Put(out, m.ballot); }
-void PutMessage(MessagePacker& out, const Rejected& m) { Put(out, m.ballot), Put(out, m.highest); }
-void PutMessage(MessagePacker& out, const Release& m) { Put(out, m.holder); }
+void PackMessageFields(MessagePacker& out, const Release& release) { Pack(out, release.holder); }
 
-// How many fields each has, by its place in the variant; two more go before: the duty and the kind.
-constexpr std::uint32_t kFields[] = {2, 6, 5, 2, 4, 2};
+// The number of fields of each message, by its index in the variant. The duty and the index precede them.
+constexpr std::uint32_t kFieldCounts[] = {2, 6, 5, 2, 4, 2};
+
+Promise TakePromise(MessageFields& in) {
+  Promise promise;
+  promise.ballot = TakeBallot(in);
+  const bool held = in.Take<bool>();
+  const Holder holder = TakeHolder(in);
+  if (held)
+    promise.lease_holder = holder;
+  promise.remaining = in.Take<Micros>();
+  return promise;
+}
 
 LeaseMessage TakeMessage(std::uint32_t kind, MessageFields& in) {
   switch (kind) {
     case 0:
       return Prepare{TakeBallot(in)};
-    case 1: {
-      Promise m;
-      m.ballot = TakeBallot(in);
-      const bool held = in.Take<bool>();
-      const Holder holder = TakeHolder(in);
-      if (held)
-        m.held_by = holder;
-      m.left = in.Take<Micros>();
-      return m;
-    }
-    case 2: {
-      Propose m;
-      m.ballot = TakeBallot(in), m.holder = TakeHolder(in), m.lease = in.Take<Micros>();
-      return m;
-    }
+    case 1:
+      return TakePromise(in);
+    case 2:
+      return Propose{TakeBallot(in), TakeHolder(in), in.Take<Micros>()};
     case 3:
       return Accepted{TakeBallot(in)};
-    case 4: {
-      Rejected m;
-      m.ballot = TakeBallot(in), m.highest = TakeBallot(in);
-      return m;
-    }
+    case 4:
+      return Rejected{TakeBallot(in), TakeBallot(in)};
     default:
       return Release{TakeHolder(in)};
   }
@@ -76,12 +83,13 @@
 
 std::string EncodeResult(const ProbeResult& result) {
   return PackMessage([&](MessagePacker& out) {
-    std::uint32_t given = 0, mask = 0;
+    std::uint32_t present = 0;
+    std::uint32_t mask = 0;
     for (std::size_t i = 0; i < kFigures.size(); ++i) {
       if ((result.report.*kFigures[i]).has_value())
-        ++given, mask |= 1U << i;
+        ++present, mask |= 1U << i;
     }
-    out.pack_array(5 + given);
+    out.pack_array(5 + present);
     out.pack(result.stamp), out.pack(result.origin), out.pack(static_cast<std::uint8_t>(result.outcome));
     out.pack(result.elapsed), out.pack(mask);
     for (const auto figure : kFigures) {
@@ -116,9 +124,9 @@
 std::string EncodeMessage(const DutyMessage& message) {
   return PackMessage([&](MessagePacker& out) {
     const auto kind = static_cast<std::uint32_t>(message.message.index());
-    out.pack_array(2 + kFields[kind]);
+    out.pack_array(2 + kFieldCounts[kind]);
     out.pack(message.duty), out.pack(kind);
-    std::visit([&](const auto& m) { PutMessage(out, m); }, message.message);
+    std::visit([&](const auto& alternative) { PackMessageFields(out, alternative); }, message.message);
   });
 }
 
@@ -128,7 +136,7 @@
     DutyMessage message;
     message.duty = in.Name();
     const auto kind = in.Take<std::uint32_t>();
-    if (kind >= std::size(kFields))
+    if (kind >= std::size(kFieldCounts))
       throw std::runtime_error("not a kind");
     message.message = TakeMessage(kind, in);
     in.End();
--- a/src/duties/codec.h
+++ b/src/duties/codec.h
@@ -1,5 +1,4 @@
-// What duties tell one another, as bytes within membership's packets: MessagePack. Decoded once, encoded
-// once.
+// The encoding of probe results and duty messages, in MessagePack. Membership's packets carry the bytes.
 #ifndef ALDERSILL_SRC_DUTIES_CODEC_H_
 #define ALDERSILL_SRC_DUTIES_CODEC_H_
 
@@ -11,7 +10,7 @@
 
 namespace aldersill::duties {
 
-// The worker's name goes beside it, as the rumor's key. Figures of the report are single precision.
+// Without the worker's name, which is the gossip message's key. Figures of the report have single precision.
 std::string EncodeResult(const ProbeResult& result);
 std::optional<ProbeResult> DecodeResult(const std::string& worker, std::string_view bytes);
 
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -10,172 +10,165 @@
 
 }  // namespace
 
-Lease::Lease(LeaseSettings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {}
+Lease::Lease(LeaseSettings settings, std::uint64_t seed)
+    : settings_(std::move(settings)),
+      random_(seed),
+      acceptor_(settings_.timespan, settings_.max_clock_drift) {}
 
 void Lease::Handle(Micros now, LeaseEvent event, std::vector<LeaseEffect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
-  CheckHeld();
-  CheckRound();
-  std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
-  while (!to_self_.empty()) {
-    LeaseMessageReceived heard = std::move(to_self_.front());
-    to_self_.pop_front();
-    On(std::move(heard));
+  EndExpiredLease();
+  EndOverdueRound();
+  std::visit([this](const auto& alternative) { Apply(alternative); }, event);
+  while (!messages_to_self_.empty()) {
+    const LeaseMessageReceived received = std::move(messages_to_self_.front());
+    messages_to_self_.pop_front();
+    Apply(received);
   }
 }
 
 Micros Lease::next_due() const {
-  Micros due = kNever;
-  if (term_)
-    due = held_until_;
-  if (gave_up_ || !IsVoter(settings_.name))
-    return due;
-  return std::min(due, phase_ == Phase::kIdle ? next_try_ : phase_ends_);
+  const Micros lease_end = term_ ? held_until_ : kNever;
+  if (released_ || !IsVoter(settings_.name))
+    return lease_end;
+  return std::min(lease_end, phase_ == Phase::kIdle ? next_round_ : round_ends_);
 }
 
 std::optional<std::uint64_t> Lease::Holds(Micros now) const {
   return term_ && now < held_until_ ? term_ : std::nullopt;
 }
 
-std::optional<Holder> Lease::Believed(Micros now) const {
-  return accepted_ && now < accepted_until_ ? accepted_ : std::nullopt;
-}
-
 bool Lease::IsVoter(const std::string& name) const {
   return std::find(settings_.voters.begin(), settings_.voters.end(), name) != settings_.voters.end();
 }
 
-Micros Lease::Drawn(Micros least, Micros most) {
+Micros Lease::RandomBetween(Micros least, Micros most) {
   return least + random_(static_cast<std::uint32_t>(std::max<Micros>(1, most - least)));
 }
 
 // ---- Events ----
 
-void Lease::On(const LeaseStarted&) {
-  // Longer than any lease that an earlier life may have accepted, by the slowest clock against the fastest.
-#ifndef ALDERSILL_PLANT_HASTY_VOTER  // the defect that the search must find (tests/duties)
-  silent_until_ =
-      now_ + static_cast<Micros>(static_cast<double>(settings_.lease) * (1.0 + 3.0 * settings_.most_drift));
-#endif
-  next_try_ = std::max(silent_until_, now_) + Drawn(0, settings_.lease / 10);
+void Lease::Apply(const LeaseStarted&) {
+  acceptor_.Start(now_);
+  next_round_ = std::max(acceptor_.silent_until(), now_) + RandomBetween(0, settings_.timespan / 10);
 }
 
-void Lease::On(LeaseMessageReceived&& e) {
-  if (!IsVoter(settings_.name) || !IsVoter(e.from))
+void Lease::Apply(const LeaseMessageReceived& received) {
+  if (!IsVoter(settings_.name) || !IsVoter(received.from))
     return;
-  std::visit([&](const auto& m) { On(e.from, m); }, e.message);
+  std::visit([&](const auto& message) { ApplyMessage(received.from, message); }, received.message);
 }
 
-void Lease::On(const LeaseTime&) {
-  if (gave_up_ || !IsVoter(settings_.name))
+void Lease::Apply(const LeaseTimerExpired&) {
+  if (released_ || !IsVoter(settings_.name))
     return;
-  if (phase_ == Phase::kIdle && now_ >= next_try_)
-    Begin();
+  if (phase_ == Phase::kIdle && now_ >= next_round_)
+    StartRound();
 }
 
-void Lease::On(const GiveUp&) {
-  gave_up_ = true;
+void Lease::Apply(const LeaseReleaseRequested&) {
+  released_ = true;
   phase_ = Phase::kIdle;
   if (!term_)
     return;
-  effects_->push_back(Lost{*std::exchange(term_, std::nullopt)});
-  ++counters_.lost;
-  SendToVoters(Release{Me()});
+  Lose();
+  SendToVoters(Release{Self()});
 }
 
-void Lease::CheckHeld() {
-  if (!term_ || now_ < held_until_)
-    return;
-  effects_->push_back(Lost{*std::exchange(term_, std::nullopt)});
+void Lease::Lose() {
+  effects_->push_back(LeaseLost{*std::exchange(term_, std::nullopt)});
   ++counters_.lost;
 }
 
-void Lease::CheckRound() {
-  if (phase_ != Phase::kIdle && now_ >= phase_ends_)
-    Retreat(Drawn(settings_.lease / 20, settings_.lease / 10));
+void Lease::EndExpiredLease() {
+  if (term_ && now_ >= held_until_)
+    Lose();
 }
 
-// ---- The voter ----
+void Lease::EndOverdueRound() {
+  if (phase_ != Phase::kIdle && now_ >= round_ends_)
+    EndRound(RandomBetween(settings_.timespan / 20, settings_.timespan / 10));
+}
 
-void Lease::On(const std::string& from, const Prepare& m) {
-  highest_seen_ = std::max(highest_seen_, m.ballot.number);
-  if (now_ < silent_until_)
-    return;
-  if (m.ballot < promised_)
-    return Tell(from, Rejected{m.ballot, promised_});
-  promised_ = m.ballot;
-  Promise promise{m.ballot, Believed(now_), 0};
-  if (promise.held_by)
-    promise.left = accepted_until_ - now_;
-  Tell(from, promise);
-}
-
-void Lease::On(const std::string& from, const Propose& m) {
-  highest_seen_ = std::max(highest_seen_, m.ballot.number);
-  if (now_ < silent_until_)
-    return;
-  if (m.ballot < promised_)
-    return Tell(from, Rejected{m.ballot, promised_});
-  promised_ = accepted_ballot_ = m.ballot;
-  accepted_ = m.holder;
-  // One whose settings differ must not have this voter believe in a lease longer than any that it waits for.
-  accepted_until_ = now_ + std::clamp<Micros>(m.lease, 0, settings_.lease);
-  Tell(from, Accepted{m.ballot});
-}
-
-void Lease::On(const std::string&, const Release& m) {
-  if (accepted_ && *accepted_ == m.holder)
-    accepted_.reset();
+// ---- The acceptor ----
+
+void Lease::ApplyMessage(const std::string& from, const Prepare& prepare) {
+  highest_seen_ = std::max(highest_seen_, prepare.ballot.number);
+  if (std::optional<LeaseMessage> reply = acceptor_.Handle(now_, prepare))
+    Send(from, std::move(*reply));
+}
+
+void Lease::ApplyMessage(const std::string& from, const Propose& propose) {
+  highest_seen_ = std::max(highest_seen_, propose.ballot.number);
+  if (std::optional<LeaseMessage> reply = acceptor_.Handle(now_, propose))
+    Send(from, std::move(*reply));
+}
+
+void Lease::ApplyMessage(const std::string&, const Release& release) {
+  acceptor_.Handle(release);
   if (phase_ == Phase::kIdle && !term_)
-    next_try_ = std::min(next_try_, now_ + Drawn(0, settings_.lease / 20));
+    next_round_ = std::min(next_round_, now_ + RandomBetween(0, settings_.timespan / 20));
 }
 
-// ---- Who asks ----
+// ---- The proposer ----
 
-void Lease::Begin() {
+void Lease::StartRound() {
   highest_seen_ = std::max(highest_seen_ + 1, static_cast<std::uint64_t>(now_ / kMillisecond));
   ballot_ = {highest_seen_, settings_.name};
-  promises_.clear(), free_.clear(), accepts_.clear();
-  wait_hint_ = 0;
+  promised_by_.clear();
+  open_at_.clear();
+  accepted_by_.clear();
+  other_lease_remaining_ = 0;
   phase_ = Phase::kPreparing;
-  phase_ends_ = now_ + settings_.lease / 10;
+  round_ends_ = now_ + settings_.timespan / 10;
   ++counters_.rounds;
   SendToVoters(Prepare{ballot_});
 }
 
-void Lease::On(const std::string& from, const Promise& m) {
-  if (phase_ != Phase::kPreparing || m.ballot != ballot_)
+void Lease::ApplyMessage(const std::string& from, const Promise& promise) {
+  if (phase_ != Phase::kPreparing || promise.ballot != ballot_)
     return;
-  promises_.insert(from);
-  if (!m.held_by || *m.held_by == Me()) {
-    free_.insert(from);
+  promised_by_.insert(from);
+  if (!promise.lease_holder || *promise.lease_holder == Self()) {
+    open_at_.insert(from);
   } else {
-    wait_hint_ = std::max(wait_hint_, std::min(m.left, settings_.lease));
+    other_lease_remaining_ =
+        std::max(other_lease_remaining_, std::min(promise.remaining, settings_.timespan));
   }
-  if (Majority(free_)) {
-    phase_ = Phase::kProposing;
-    phase_ends_ = now_ + settings_.lease / 10;
-    proposed_at_ = now_;  // before any voter can have begun to count
-    SendToVoters(Propose{ballot_, Me(), settings_.lease});
-  } else if (promises_.size() == settings_.voters.size() || (wait_hint_ > 0 && Majority(promises_))) {
-    Retreat(wait_hint_ + Drawn(0, settings_.lease / 20));
+  if (IsMajority(open_at_)) {
+    StartProposing();
+    return;
   }
+  const bool all_promised = promised_by_.size() == settings_.voters.size();
+  const bool held_by_another = other_lease_remaining_ > 0 && IsMajority(promised_by_);
+  if (all_promised || held_by_another)
+    EndRound(other_lease_remaining_ + RandomBetween(0, settings_.timespan / 20));
 }
 
-void Lease::On(const std::string& from, const Accepted& m) {
-  if (phase_ != Phase::kProposing || m.ballot != ballot_)
+void Lease::StartProposing() {
+  phase_ = Phase::kProposing;
+  round_ends_ = now_ + settings_.timespan / 10;
+  proposed_at_ = now_;  // no voter can have accepted, and begun to count, before this
+  SendToVoters(Propose{ballot_, Self(), settings_.timespan});
+}
+
+void Lease::ApplyMessage(const std::string& from, const Accepted& accepted) {
+  if (phase_ != Phase::kProposing || accepted.ballot != ballot_)
     return;
-  accepts_.insert(from);
-  if (!Majority(accepts_))
+  accepted_by_.insert(from);
+  if (!IsMajority(accepted_by_))
     return;
   phase_ = Phase::kIdle;
-  const Micros until = proposed_at_ + static_cast<Micros>(static_cast<double>(settings_.lease) *
-                                                          (1.0 - 2.0 * settings_.most_drift));
-  next_try_ = proposed_at_ + settings_.lease / 3;  // to renew
-  if (until <= now_)
-    return;                           // the word came too late
-#ifdef ALDERSILL_PLANT_ENDLESS_LEASE  // planted where a search must find it
+  const double usable = 1.0 - 2.0 * settings_.max_clock_drift;
+  const Micros until = proposed_at_ + static_cast<Micros>(static_cast<double>(settings_.timespan) * usable);
+  next_round_ = proposed_at_ + settings_.timespan / 3;  // to renew
+  if (until > now_)
+    HoldUntil(until);
+}
+
+void Lease::HoldUntil(Micros until) {
+#ifdef ALDERSILL_PLANT_ENDLESS_LEASE  // a deliberate defect that fleet_search must find
   held_until_ = until + 60 * kSecond;
 #else
   held_until_ = until;
@@ -185,34 +178,34 @@
     return;
   }
   term_ = ballot_.number;
-  ++counters_.taken;
-  effects_->push_back(Taken{*term_});
+  ++counters_.acquired;
+  effects_->push_back(LeaseAcquired{*term_});
 }
 
-void Lease::On(const std::string&, const Rejected& m) {
-  highest_seen_ = std::max(highest_seen_, m.highest.number);
-  if (phase_ == Phase::kIdle || m.ballot != ballot_)
+void Lease::ApplyMessage(const std::string&, const Rejected& rejected) {
+  highest_seen_ = std::max(highest_seen_, rejected.promised.number);
+  if (phase_ == Phase::kIdle || rejected.ballot != ballot_)
     return;
   ++counters_.rejected;
-  Retreat(Drawn(settings_.lease / 20, settings_.lease / 5));
+  EndRound(RandomBetween(settings_.timespan / 20, settings_.timespan / 5));
 }
 
-void Lease::Retreat(Micros wait) {
+void Lease::EndRound(Micros retry_after) {
   phase_ = Phase::kIdle;
-  next_try_ = now_ + wait;
+  next_round_ = now_ + retry_after;
 }
 
-void Lease::Tell(const std::string& to, LeaseMessage message) {
+void Lease::Send(const std::string& to, LeaseMessage message) {
   if (to == settings_.name) {
-    to_self_.push_back(LeaseMessageReceived{settings_.name, std::move(message)});
+    messages_to_self_.push_back(LeaseMessageReceived{settings_.name, std::move(message)});
   } else {
-    effects_->push_back(SendTo{to, std::move(message)});
+    effects_->push_back(SendLeaseMessage{to, std::move(message)});
   }
 }
 
 void Lease::SendToVoters(const LeaseMessage& message) {
   for (const std::string& voter : settings_.voters)
-    Tell(voter, message);
+    Send(voter, message);
 }
 
 }  // namespace aldersill::duties
--- a/src/duties/lease.h
+++ b/src/duties/lease.h
@@ -1,18 +1,19 @@
-// An exclusive duty: a lease from a majority of a configured set of instances, so that never two act at once.
-// Pure: (now, event) -> effects.
+// The lease of an exclusive duty, granted by a majority of a configured set of voters, so that never two
+// members hold it at once. Pure: (now, event) -> effects.
 //
-// The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt 2012): Paxos on who holds, where what is accepted
-// ends by itself, so that nothing has to be on disk and no clocks have to agree. What it rests on:
-//  - clocks run at rates within `most_drift` of true time. A holder stops 2 * most_drift of the lease early,
-//  so
-//    that it has ended by its own slow clock before it can have ended at any voter by a fast one;
-//  - a round takes answers for a tenth of the lease and no longer, also where the asker stood still
-//  meanwhile: a
-//    promise of a voter that has restarted since, and forgotten it, must not count (the model found this);
-//  - a voter that starts says nothing for longer than any lease, as it has forgotten what it accepted;
-//  - ballots are above the Unix time in milliseconds, so that terms grow even where all voters have
-//  forgotten.
-// docs/duties.md says where each fails. The model is tests/models/lease.pml.
+// The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt 2012): Paxos on who holds the lease, where what is
+// accepted ends by itself, so that nothing is kept on disk and clocks need not agree. Its assumptions:
+//  - Clocks run at rates within `max_clock_drift` of true time. A holder ends its lease 2 * max_clock_drift
+//  of
+//    the timespan early: it has ended by the holder's slow clock before it can end at a voter with a fast
+//    one.
+//  - A round counts answers for a tenth of the timespan and no longer, also if the proposer was paused
+//    meanwhile: the promise of a voter that has restarted since, and forgotten it, must not count (found by
+//    the model).
+//  - A voter that starts stays silent for longer than any lease, as it has forgotten what it accepted.
+//  - Ballots are above the Unix time in milliseconds, so that terms grow even where all voters have
+//  restarted.
+// docs/duties.md describes what happens where an assumption fails. The model is tests/models/lease.pml.
 #ifndef ALDERSILL_SRC_DUTIES_LEASE_H_
 #define ALDERSILL_SRC_DUTIES_LEASE_H_
 
@@ -25,17 +26,18 @@
 #include <variant>
 #include <vector>
 
+#include "duties/lease_acceptor.h"
 #include "duties/types.h"
 
 namespace aldersill::duties {
 
 struct LeaseSettings {
   std::string duty;
-  std::string name;                 // of this instance
-  std::uint64_t epoch = 0;          // and of its life
-  std::vector<std::string> voters;  // the same at all instances; who is not among them holds nothing
-  Micros lease = 10 * kSecond;
-  double most_drift = 0.01;  // of a clock's rate, either way; at most 0.2
+  std::string name;                 // of this member
+  std::uint64_t epoch = 0;          // of this member's process
+  std::vector<std::string> voters;  // the same at all members; others take no part
+  Micros timespan = 10 * kSecond;
+  double max_clock_drift = 0.01;  // of a clock's rate, either way; at most 0.2
 };
 
 // ---- Events ----
@@ -45,28 +47,29 @@
   std::string from;
   LeaseMessage message;
 };
-struct LeaseTime {};  // next_due() is reached
-struct GiveUp {};     // for good: what is held is released at once
-using LeaseEvent = std::variant<LeaseStarted, LeaseMessageReceived, LeaseTime, GiveUp>;
+struct LeaseTimerExpired {};      // next_due() is reached
+struct LeaseReleaseRequested {};  // for good: a held lease is released at once
+using LeaseEvent = std::variant<LeaseStarted, LeaseMessageReceived, LeaseTimerExpired, LeaseReleaseRequested>;
 
 // ---- Effects ----
 
-struct SendTo {
+struct SendLeaseMessage {
   std::string to;  // a voter
   LeaseMessage message;
 };
-struct Taken {
+struct LeaseAcquired {
   std::uint64_t term = 0;
 };
-struct Lost {
+struct LeaseLost {
   std::uint64_t term = 0;
 };
-using LeaseEffect = std::variant<SendTo, Taken, Lost>;
+using LeaseEffect = std::variant<SendLeaseMessage, LeaseAcquired, LeaseLost>;
 
 struct LeaseCounters {
-  std::uint64_t taken = 0, lost = 0, renewed = 0, rounds = 0, rejected = 0;
+  std::uint64_t acquired = 0, lost = 0, renewed = 0, rounds = 0, rejected = 0;
 };
 
+// One voter's proposer, with the acceptor that runs in the same process.
 class Lease {
  public:
   Lease(LeaseSettings settings, std::uint64_t seed);
@@ -74,65 +77,66 @@
   void Handle(Micros now, LeaseEvent event, std::vector<LeaseEffect>* effects);
   Micros next_due() const;
 
-  // Whether this instance may act now, and under which term; to be asked before each act, with the time as it
-  // is then: an instance that stood still holds nothing until it has asked again.
+  // The term under which this member may act now. To be asked before each act with the time of the act: a
+  // member that was paused holds nothing until it has renewed its lease.
   std::optional<std::uint64_t> Holds(Micros now) const;
-  // Who holds as far as this voter has been told; nobody if that has ended.
-  std::optional<Holder> Believed(Micros now) const;
+  // The lease holder as far as this voter's acceptor knows.
+  std::optional<Holder> KnownHolder(Micros now) const { return acceptor_.LeaseHolder(now); }
   const LeaseSettings& settings() const { return settings_; }
   const LeaseCounters& counters() const { return counters_; }
 
  private:
   enum class Phase { kIdle, kPreparing, kProposing };
 
-  void On(const LeaseStarted&);
-  void On(LeaseMessageReceived&& e);
-  void On(const LeaseTime&);
-  void On(const GiveUp&);
-  // As a voter.
-  void On(const std::string& from, const Prepare& m);
-  void On(const std::string& from, const Propose& m);
-  void On(const std::string& from, const Release& m);
-  // As who asks.
-  void On(const std::string& from, const Promise& m);
-  void On(const std::string& from, const Accepted& m);
-  void On(const std::string& from, const Rejected& m);
-
-  void Begin();
-  void Retreat(Micros wait);
-  void Tell(const std::string& to, LeaseMessage message);
+  void Apply(const LeaseStarted&);
+  void Apply(const LeaseMessageReceived& received);
+  void Apply(const LeaseTimerExpired&);
+  void Apply(const LeaseReleaseRequested&);
+  // As the acceptor.
+  void ApplyMessage(const std::string& from, const Prepare& prepare);
+  void ApplyMessage(const std::string& from, const Propose& propose);
+  void ApplyMessage(const std::string& from, const Release& release);
+  // As the proposer.
+  void ApplyMessage(const std::string& from, const Promise& promise);
+  void ApplyMessage(const std::string& from, const Accepted& accepted);
+  void ApplyMessage(const std::string& from, const Rejected& rejected);
+
+  void StartRound();
+  void StartProposing();
+  void EndRound(Micros retry_after);
+  void EndOverdueRound();
+  void HoldUntil(Micros until);
+  void Lose();
+  void EndExpiredLease();
+  // A message to this member itself is handled before Handle returns.
+  void Send(const std::string& to, LeaseMessage message);
   void SendToVoters(const LeaseMessage& message);
-  void CheckHeld();
-  void CheckRound();
-  bool Majority(const std::set<std::string>& names) const {
+  bool IsMajority(const std::set<std::string>& names) const {
     return 2 * names.size() > settings_.voters.size();
   }
   bool IsVoter(const std::string& name) const;
-  Holder Me() const { return {settings_.name, settings_.epoch}; }
-  Micros Drawn(Micros least, Micros most);
+  Holder Self() const { return {settings_.name, settings_.epoch}; }
+  Micros RandomBetween(Micros least, Micros most);
 
   const LeaseSettings settings_;
   pcg32 random_;
   Micros now_ = 0;
   std::vector<LeaseEffect>* effects_ = nullptr;
-  std::deque<LeaseMessageReceived> to_self_;
-  bool gave_up_ = false;
-  // Of the voter.
-  Micros silent_until_ = 0;
-  Ballot promised_;
-  std::optional<Holder> accepted_;
-  Ballot accepted_ballot_;
-  Micros accepted_until_ = 0;
-  // Of who asks.
+  std::deque<LeaseMessageReceived> messages_to_self_;
+  bool released_ = false;
+  LeaseAcceptor acceptor_;
+  // The proposer's round.
   Phase phase_ = Phase::kIdle;
   Ballot ballot_;
   std::uint64_t highest_seen_ = 0;
-  std::set<std::string> promises_, free_, accepts_;
-  Micros wait_hint_ = 0;  // how long others said that theirs has left
+  std::set<std::string> promised_by_;  // voters that promised this round's ballot
+  std::set<std::string> open_at_;      // of these, those without another member's lease
+  std::set<std::string> accepted_by_;
+  Micros other_lease_remaining_ = 0;  // the longest that a promise reported
   Micros proposed_at_ = 0;
-  Micros phase_ends_ = 0;
-  Micros next_try_ = 0;
-  // Of the holder.
+  Micros round_ends_ = 0;
+  Micros next_round_ = 0;
+  // The held lease.
   std::optional<std::uint64_t> term_;
   Micros held_until_ = 0;
   LeaseCounters counters_;
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -13,10 +13,10 @@
 
 double Ownership::Score(const Member& member, const Worker& worker) {
   if (member.weight == 0)
-    return -1.0;  // takes no part
-  const std::uint64_t both[] = {member.hash, worker.hash};
-  const double drawn = (static_cast<double>(XXH3_64bits(both, sizeof(both)) >> 11) + 0.5) * 0x1.0p-53;
-  return -static_cast<double>(member.weight) / std::log(drawn);
+    return -1.0;  // owns nothing
+  const std::uint64_t hashes[] = {member.hash, worker.hash};
+  const double uniform = (static_cast<double>(XXH3_64bits(hashes, sizeof(hashes)) >> 11) + 0.5) * 0x1.0p-53;
+  return -static_cast<double>(member.weight) / std::log(uniform);
 }
 
 void Ownership::SetMember(const std::string& name, std::uint32_t weight, const Changed& changed) {
@@ -42,14 +42,14 @@
     return;
   for (auto& [worker_name, worker] : workers_) {
     if (worker.owner == name)
-      Choose(worker_name, &worker, changed);
+      ChooseOwner(worker_name, &worker, changed);
   }
 }
 
 void Ownership::AddWorker(const std::string& name, const Changed& changed) {
   const auto [at, added] = workers_.emplace(name, Worker{HashOf(name), "", 0.0});
   if (added)
-    Choose(name, &at->second, changed);
+    ChooseOwner(name, &at->second, changed);
 }
 
 void Ownership::RemoveWorker(const std::string& name) { workers_.erase(name); }
@@ -60,7 +60,7 @@
   return found == workers_.end() ? kNobody : found->second.owner;
 }
 
-void Ownership::Choose(const std::string& name, Worker* worker, const Changed& changed) {
+void Ownership::ChooseOwner(const std::string& name, Worker* worker, const Changed& changed) {
   worker->owner.clear();
   worker->score = 0.0;
   for (const auto& [member_name, member] : members_) {
--- a/src/duties/ownership.h
+++ b/src/duties/ownership.h
@@ -1,5 +1,6 @@
-// Who owns which worker: weighted rendezvous hashing (Thaler and Ravishankar 1998; the weights after
-// Schindelhauer and Schomaker 2005). When a member comes or goes, only what it gains or held changes hands.
+// Which member owns which worker: weighted rendezvous hashing (Thaler and Ravishankar 1998; the weights after
+// Schindelhauer and Schomaker 2005). When a member joins or leaves, only the workers that it gains or owned
+// change their owner.
 #ifndef ALDERSILL_SRC_DUTIES_OWNERSHIP_H_
 #define ALDERSILL_SRC_DUTIES_OWNERSHIP_H_
 
@@ -12,7 +13,7 @@
 
 class Ownership {
  public:
-  // Called with each worker whose owner is another now; "" for none.
+  // Called with each worker whose owner has changed; an empty owner: none.
   using Changed = std::function<void(const std::string& worker, const std::string& owner)>;
 
   void SetMember(const std::string& name, std::uint32_t weight, const Changed& changed);
@@ -20,7 +21,7 @@
   void AddWorker(const std::string& name, const Changed& changed);
   void RemoveWorker(const std::string& name);
 
-  const std::string& OwnerOf(const std::string& worker) const;  // "" for none
+  const std::string& OwnerOf(const std::string& worker) const;  // empty for none
   std::size_t workers() const { return workers_.size(); }
 
  private:
@@ -33,8 +34,9 @@
     std::string owner;
     double score = 0.0;
   };
+  // The owner is the member with the highest score; below 0: it takes no part.
   static double Score(const Member& member, const Worker& worker);
-  void Choose(const std::string& name, Worker* worker, const Changed& changed);
+  void ChooseOwner(const std::string& name, Worker* worker, const Changed& changed);
 
   std::map<std::string, Member> members_;
   std::map<std::string, Worker> workers_;
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr Micros kNever = INT64_MAX;
-// A stamp further ahead than any clock may be would hide all that comes after it.
-constexpr Micros kMostAhead = 30 * kSecond;
-// What was taken over is probed within this part of an interval, not all at once.
-constexpr Micros kSpreadOver = 10;
+// A stamp further ahead than any clock may be would hide every later result.
+constexpr Micros kMaxStampLead = 30 * kSecond;
+// Workers of a member that left are probed within this fraction of an interval, not all at once.
+constexpr Micros kTakeoverSpread = 10;
 
 }  // namespace
 
@@ -21,155 +21,160 @@
 void ProbeSharing::Handle(Micros now, ProbeEvent event, std::vector<ProbeEffect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
-  std::visit([this](auto&& e) { On(std::move(e)); }, std::move(event));
-  Launch();
+  std::visit([this](auto&& alternative) { Apply(std::move(alternative)); }, std::move(event));
+  StartDueProbes();
 }
 
 Micros ProbeSharing::next_due() const {
   Micros due = kNever;
-  if (!due_.empty() && std::ssize(out_) < settings_.most_out)
-    due = due_.begin()->first;
-  // Numbers and overdue times grow together.
-  if (!out_.empty())
-    due = std::min(due, out_.begin()->second.overdue_at);
+  if (!schedule_.empty() && std::ssize(in_flight_) < settings_.most_out)
+    due = schedule_.begin()->first;
+  // Numbers and overdue times grow together: the first probe is the first to be overdue.
+  if (!in_flight_.empty())
+    due = std::min(due, in_flight_.begin()->second.overdue_at);
   return due;
 }
 
-std::optional<ProbeResult> ProbeSharing::LastOf(const std::string& worker) const {
+std::optional<ProbeResult> ProbeSharing::LastResult(const std::string& worker) const {
   const auto found = workers_.find(worker);
   return found == workers_.end() ? std::nullopt : found->second.last;
 }
 
-void ProbeSharing::On(MemberJoined&& e) {
-  ownership_.SetMember(e.name, e.weight,
-                       [this](const auto& worker, const auto& owner) { Owned(worker, owner, false); });
+void ProbeSharing::Apply(MemberJoined&& event) {
+  ownership_.SetMember(event.name, event.weight,
+                       [this](const auto& worker, const auto& owner) { ApplyOwner(worker, owner, false); });
 }
 
-void ProbeSharing::On(MemberLeft&& e) {
-  ownership_.RemoveMember(e.name,
-                          [this](const auto& worker, const auto& owner) { Owned(worker, owner, true); });
+void ProbeSharing::Apply(MemberLeft&& event) {
+  ownership_.RemoveMember(event.name,
+                          [this](const auto& worker, const auto& owner) { ApplyOwner(worker, owner, true); });
 }
 
-void ProbeSharing::On(WorkersChanged&& e) {
-  std::map<std::string, std::string> now(e.workers.begin(), e.workers.end());
+void ProbeSharing::Apply(WorkersChanged&& event) {
+  std::map<std::string, std::string> listed(event.workers.begin(), event.workers.end());
   for (auto at = workers_.begin(); at != workers_.end();) {
-    if (now.contains(at->first)) {
+    if (listed.contains(at->first)) {
       ++at;
       continue;
     }
     Unschedule(at->first, &at->second);
-    if (at->second.mine)
+    if (at->second.owned_here)
       --owned_;
     ownership_.RemoveWorker(at->first);
     at = workers_.erase(at);
   }
-  for (auto& [name, address] : now) {
+  for (auto& [name, address] : listed) {
     Worker& worker = workers_[name];
     worker.address = std::move(address);
-    ownership_.AddWorker(name, [this](const auto& n, const auto& owner) { Owned(n, owner, false); });
+    ownership_.AddWorker(
+        name, [this](const auto& changed, const auto& owner) { ApplyOwner(changed, owner, false); });
   }
 }
 
-void ProbeSharing::Owned(const std::string& name, const std::string& owner, bool by_departure) {
+void ProbeSharing::ApplyOwner(const std::string& name, const std::string& owner, bool by_departure) {
   const auto found = workers_.find(name);
   if (found == workers_.end())
     return;
   Worker& worker = found->second;
-  const bool mine = owner == settings_.name;
-  if (mine == worker.mine)
+  const bool owned_here = owner == settings_.name;
+  if (owned_here == worker.owned_here)
     return;
-  worker.mine = mine;
-  owned_ += mine ? 1 : -1;
-  if (!mine)
-    return Unschedule(name, &worker);  // what is out still counts when it comes
+  worker.owned_here = owned_here;
+  owned_ += owned_here ? 1 : -1;
+  if (!owned_here)
+    return Unschedule(name, &worker);  // a probe in flight still counts when it ends
   if (by_departure)
     ++counters_.takeovers;
-  if (worker.out)
+  if (worker.in_flight)
     return;
-  // On with the rhythm of the one before; what is behind already, soon.
+  // Keeps the former owner's schedule; a worker that is behind it is probed soon.
   const Micros usual = worker.last ? TimeOf(worker.last->stamp) + settings_.interval : now_;
-  const Micros soon = now_ + Within(by_departure ? settings_.interval / kSpreadOver : settings_.interval);
+  const Micros soon =
+      now_ + RandomWithin(by_departure ? settings_.interval / kTakeoverSpread : settings_.interval);
   Schedule(name, &worker, std::clamp(usual, soon, now_ + settings_.interval));
 }
 
 void ProbeSharing::Schedule(const std::string& name, Worker* worker, Micros at) {
   worker->due = at;
-  due_.insert({at, name});
+  schedule_.insert({at, name});
 }
 
-void ProbeSharing::Unschedule(const std::string& name, Worker* worker) { due_.erase({worker->due, name}); }
+void ProbeSharing::Unschedule(const std::string& name, Worker* worker) {
+  schedule_.erase({worker->due, name});
+}
 
-void ProbeSharing::On(ProbeTime&&) {
-  while (!out_.empty() && out_.begin()->second.overdue_at <= now_) {
+void ProbeSharing::Apply(ProbeTimerExpired&&) {
+  while (!in_flight_.empty() && in_flight_.begin()->second.overdue_at <= now_) {
     ++counters_.overdue;
-    const std::uint64_t number = out_.begin()->first;
-    On(ProbeEnded{number, Outcome::kTimeout, settings_.timeout, {}});
+    const std::uint64_t number = in_flight_.begin()->first;
+    Apply(ProbeEnded{number, Outcome::kTimeout, settings_.timeout, {}});
   }
 }
 
-void ProbeSharing::Launch() {
-  while (!due_.empty() && due_.begin()->first <= now_ && std::ssize(out_) < settings_.most_out) {
-    const auto [at, name] = *due_.begin();
-    due_.erase(due_.begin());
+void ProbeSharing::StartDueProbes() {
+  while (!schedule_.empty() && schedule_.begin()->first <= now_ &&
+         std::ssize(in_flight_) < settings_.most_out) {
+    const auto [at, name] = *schedule_.begin();
+    schedule_.erase(schedule_.begin());
     Worker& worker = workers_.at(name);
     const std::uint64_t number = next_number_++;
-    worker.out = number;
-    // The next one keeps the rhythm, unless this one is so late that it would follow at once.
+    worker.in_flight = number;
+    // The next probe keeps the schedule, unless this one is so late that it would follow at once.
     worker.due = now_ - at < settings_.interval / 2
                      ? at + settings_.interval
-                     : now_ + settings_.interval / 2 + Within(settings_.interval / 2);
-    out_.emplace(number, Out{name, now_ + 2 * settings_.timeout});
+                     : now_ + settings_.interval / 2 + RandomWithin(settings_.interval / 2);
+    in_flight_.emplace(number, InFlightProbe{name, now_ + 2 * settings_.timeout});
     ++counters_.started;
     effects_->push_back(StartProbe{number, name, worker.address});
   }
 }
 
-void ProbeSharing::On(ProbeEnded&& e) {
-  const auto found = out_.find(e.number);
-  if (found == out_.end())
+void ProbeSharing::Apply(ProbeEnded&& event) {
+  const auto found = in_flight_.find(event.number);
+  if (found == in_flight_.end())
     return;
   const std::string name = found->second.worker;
-  const bool slept = now_ > found->second.overdue_at + settings_.timeout;
-  out_.erase(found);
+  const bool paused = now_ > found->second.overdue_at + settings_.timeout;
+  in_flight_.erase(found);
   ++counters_.ended;
   const auto known = workers_.find(name);
   if (known == workers_.end())
     return;
   Worker& worker = known->second;
-  if (worker.out != e.number)
+  if (worker.in_flight != event.number)
     return;
-  worker.out.reset();
-  if (worker.mine)
+  worker.in_flight.reset();
+  if (worker.owned_here)
     Schedule(name, &worker, worker.due);
-  if (slept) {
-    // It may have come while this instance stood still, and others have long probed since.
-    ++counters_.slept_through;
+  if (paused) {
+    // It may have ended while this process was paused, and other members have probed since.
+    ++counters_.ended_while_paused;
     return;
   }
-  ProbeResult result{name, NextStamp(), settings_.name, e.outcome, e.elapsed, e.report};
+  ProbeResult result{name, NextStamp(), settings_.name, event.outcome, event.elapsed, event.report};
   worker.last = result;
   effects_->push_back(BroadcastResult{result});
   effects_->push_back(DeliverResult{std::move(result)});
 }
 
-void ProbeSharing::On(ProbeResultReceived&& e) {
-  const auto known = workers_.find(e.result.worker);
+void ProbeSharing::Apply(ProbeResultReceived&& event) {
+  const auto known = workers_.find(event.result.worker);
   if (known == workers_.end())
     return;
-  if (TimeOf(e.result.stamp) > now_ + kMostAhead) {
-    ++counters_.from_ahead;
+  if (TimeOf(event.result.stamp) > now_ + kMaxStampLead) {
+    ++counters_.results_from_future;
     return;
   }
-  last_stamp_ = std::max(last_stamp_, e.result.stamp);
+  last_stamp_ = std::max(last_stamp_, event.result.stamp);
   std::optional<ProbeResult>& last = known->second.last;
-  if (last && std::tie(e.result.stamp, e.result.origin) <= std::tie(last->stamp, last->origin)) {
-    ++(e.result.stamp == last->stamp ? counters_.heard_again : counters_.too_old);
+  if (last && std::tie(event.result.stamp, event.result.origin) <= std::tie(last->stamp, last->origin)) {
+    ++(event.result.stamp == last->stamp ? counters_.duplicate_results : counters_.outdated_results);
     return;
   }
-  ++counters_.heard;
-  last = e.result;
-  effects_->push_back(BroadcastResult{e.result});
-  effects_->push_back(DeliverResult{std::move(e.result)});
+  ++counters_.results_received;
+  last = event.result;
+  effects_->push_back(BroadcastResult{event.result});
+  effects_->push_back(DeliverResult{std::move(event.result)});
 }
 
 Stamp ProbeSharing::NextStamp() {
--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -1,9 +1,9 @@
-// Probing the workers, divided: each worker has one owner among the living members, who probes it once an
-// interval and tells all what came of it. Pure: (now, event) -> effects.
+// Divides the probing of the workers among the living members: each worker has one owner, which probes it
+// once an interval and broadcasts the result. Pure: (now, event) -> effects.
 //
-// The guarantee: some living member probes each worker, at least one; two where views differ for a while, and
-// one on each side of a split. So a worker bears as many probes an interval as there are sides, and a result
-// is ordered by its stamp, whoever made it.
+// The guarantee: at least one living member probes each worker; two while views differ, and one on each side
+// of a partition. A worker therefore gets as many probes an interval as there are sides. Results are ordered
+// by their stamps, whichever member made them.
 #ifndef ALDERSILL_SRC_DUTIES_PROBE_SHARING_H_
 #define ALDERSILL_SRC_DUTIES_PROBE_SHARING_H_
 
@@ -23,10 +23,10 @@
 namespace aldersill::duties {
 
 struct ProbeSettings {
-  std::string name;               // of this instance
-  Micros interval = 5 * kSecond;  // each worker is probed once in it
-  Micros timeout = kSecond;       // a probe that takes longer counts as unanswered
-  int most_out = 32;              // at once, from this instance
+  std::string name;               // of this member
+  Micros interval = 5 * kSecond;  // of each worker's probes
+  Micros timeout = kSecond;       // a probe that takes longer has failed
+  int most_out = 32;         // probes at the same time, from this member
   bool operator==(const ProbeSettings&) const = default;
 };
 
@@ -39,7 +39,7 @@
 struct MemberLeft {
   std::string name;
 };
-struct WorkersChanged {  // all of them, as (name, address)
+struct WorkersChanged {  // the complete list, as (name, address)
   std::vector<std::pair<std::string, std::string>> workers;
 };
 struct ProbeEnded {
@@ -51,9 +51,9 @@
 struct ProbeResultReceived {
   ProbeResult result;
 };
-struct ProbeTime {};  // next_due() is reached
-using ProbeEvent =
-    std::variant<MemberJoined, MemberLeft, WorkersChanged, ProbeEnded, ProbeResultReceived, ProbeTime>;
+struct ProbeTimerExpired {};  // next_due() is reached
+using ProbeEvent = std::variant<MemberJoined, MemberLeft, WorkersChanged, ProbeEnded, ProbeResultReceived,
+                                ProbeTimerExpired>;
 
 // ---- Effects ----
 
@@ -72,13 +72,13 @@
 
 struct ProbeCounters {
   std::uint64_t started = 0, ended = 0;
-  std::uint64_t overdue = 0;    // given up on: nothing came within twice the timeout
-  std::uint64_t takeovers = 0;  // workers that became this instance's because their owner went
-  std::uint64_t heard = 0;      // results of others that were news
-  std::uint64_t heard_again = 0;
-  std::uint64_t too_old = 0;        // not news, and older than what is known
-  std::uint64_t from_ahead = 0;     // of a clock too far ahead
-  std::uint64_t slept_through = 0;  // came in while this instance stood still: nobody knows when
+  std::uint64_t overdue = 0;           // abandoned: no outcome within twice the timeout
+  std::uint64_t takeovers = 0;         // workers whose owner left and that are this member's now
+  std::uint64_t results_received = 0;  // other members' results that were new
+  std::uint64_t duplicate_results = 0;
+  std::uint64_t outdated_results = 0;     // older than the known result
+  std::uint64_t results_from_future = 0;  // stamped by a clock too far ahead
+  std::uint64_t ended_while_paused = 0;   // ended while this process was paused: nobody knows when
 };
 
 class ProbeSharing {
@@ -91,7 +91,7 @@
   std::size_t owned() const { return owned_; }
   std::size_t workers() const { return workers_.size(); }
   const std::string& OwnerOf(const std::string& worker) const { return ownership_.OwnerOf(worker); }
-  std::optional<ProbeResult> LastOf(const std::string& worker) const;
+  std::optional<ProbeResult> LastResult(const std::string& worker) const;
   const ProbeCounters& counters() const { return counters_; }
   const ProbeSettings& settings() const { return settings_; }
   void ApplySettings(ProbeSettings settings) { settings_ = std::move(settings); }
@@ -99,28 +99,30 @@
  private:
   struct Worker {
     std::string address;
-    bool mine = false;
-    Micros due = 0;                    // while it is mine and no probe of it is out
-    std::optional<std::uint64_t> out;  // the probe's number
+    bool owned_here = false;
+    Micros due = 0;                          // while it is owned here and no probe of it is in flight
+    std::optional<std::uint64_t> in_flight;  // the number of its probe
     std::optional<ProbeResult> last;
   };
-  struct Out {
+  struct InFlightProbe {
     std::string worker;
     Micros overdue_at = 0;
   };
 
-  void On(MemberJoined&& e);
-  void On(MemberLeft&& e);
-  void On(WorkersChanged&& e);
-  void On(ProbeEnded&& e);
-  void On(ProbeResultReceived&& e);
-  void On(ProbeTime&& e);
-  void Owned(const std::string& name, const std::string& owner, bool by_departure);
+  void Apply(MemberJoined&& event);
+  void Apply(MemberLeft&& event);
+  void Apply(WorkersChanged&& event);
+  void Apply(ProbeEnded&& event);
+  void Apply(ProbeResultReceived&& event);
+  void Apply(ProbeTimerExpired&& event);
+  // The owner of a worker has changed; `by_departure`: because its former owner left.
+  void ApplyOwner(const std::string& name, const std::string& owner, bool by_departure);
   void Schedule(const std::string& name, Worker* worker, Micros at);
   void Unschedule(const std::string& name, Worker* worker);
-  void Launch();
+  void StartDueProbes();
+  // Greater than every stamp made or received here.
   Stamp NextStamp();
-  Micros Within(Micros span) { return random_(static_cast<std::uint32_t>(span) + 1); }
+  Micros RandomWithin(Micros span) { return random_(static_cast<std::uint32_t>(span) + 1); }
 
   ProbeSettings settings_;
   pcg32 random_;
@@ -128,8 +130,8 @@
   std::vector<ProbeEffect>* effects_ = nullptr;
   Ownership ownership_;
   std::map<std::string, Worker> workers_;
-  std::set<std::pair<Micros, std::string>> due_;
-  std::map<std::uint64_t, Out> out_;
+  std::set<std::pair<Micros, std::string>> schedule_;
+  std::map<std::uint64_t, InFlightProbe> in_flight_;
   std::uint64_t next_number_ = 1;
   Stamp last_stamp_ = 0;
   std::size_t owned_ = 0;
--- a/src/duties/types.h
+++ b/src/duties/types.h
@@ -1,4 +1,4 @@
-// The vocabulary of the duties that instances divide among them.
+// The messages and results that members exchange about shared duties, as values.
 #ifndef ALDERSILL_SRC_DUTIES_TYPES_H_
 #define ALDERSILL_SRC_DUTIES_TYPES_H_
 
@@ -12,32 +12,34 @@
 
 namespace aldersill::duties {
 
-// When something was seen, as all instances order it: Unix milliseconds above 16 bits that count on. A hybrid
-// logical clock (Kulkarni, Demirbas and others 2014): never behind what has been heard of, so that whoever
-// has heard of a result only makes later ones, however the clocks differ.
+// A hybrid logical clock (Kulkarni, Demirbas and others 2014): Unix milliseconds above a 16-bit counter. It
+// is never behind a stamp received from another member, so that all members order results alike, however
+// their clocks differ.
 using Stamp = std::uint64_t;
 inline Micros TimeOf(Stamp stamp) { return static_cast<Micros>(stamp >> 16) * kMillisecond; }
 
-// What a probe of a worker brought.
+// The outcome of one probe of a worker.
 struct ProbeResult {
   std::string worker;
   Stamp stamp = 0;
-  std::string origin;  // the instance that probed
+  std::string origin;  // the member that probed
   Outcome outcome = Outcome::kServed;
   Micros elapsed = 0;
   LoadReport report;
 };
 
-// ---- Leases ----
+// ---- Leases: the messages of PaxosLease ----
 
-// A number that only grows, over all holders of a duty, with the instance whose it is; the number is also the
-// term that a holder shows to whoever it acts upon, who turns away any smaller one (fencing).
+// Ballots are totally ordered over all proposers of a duty. The number of the ballot that acquired a lease is
+// also its term: a fencing token that the lease holder attaches to its requests, whose receivers reject any
+// smaller one.
 struct Ballot {
   std::uint64_t number = 0;
-  std::string name;
+  std::string name;  // of the proposer
   auto operator<=>(const Ballot&) const = default;
 };
-struct Holder {  // one life of an instance: its next life does not hold what it held
+// A lease belongs to one process of a member: the member's next process does not inherit it.
+struct Holder {
   std::string name;
   std::uint64_t epoch = 0;
   bool operator==(const Holder&) const = default;
@@ -47,28 +49,28 @@
   Ballot ballot;
 };
 struct Promise {
-  Ballot ballot;                  // promised
-  std::optional<Holder> held_by;  // whose lease has not ended here
-  Micros left = 0;                // of it
+  Ballot ballot;                       // the promised one
+  std::optional<Holder> lease_holder;  // of an accepted lease that has not ended at this acceptor
+  Micros remaining = 0;                // of that lease
 };
 struct Propose {
   Ballot ballot;
   Holder holder;
-  Micros lease = 0;
+  Micros timespan = 0;  // of the lease, counted from its acceptance
 };
 struct Accepted {
   Ballot ballot;
 };
 struct Rejected {
-  Ballot ballot;   // that was refused
-  Ballot highest;  // because of this one
+  Ballot ballot;    // the rejected one
+  Ballot promised;  // the higher one that it conflicts with
 };
 struct Release {
   Holder holder;
 };
+// The codec writes the alternative's index: the order is part of the format.
 using LeaseMessage = std::variant<Prepare, Promise, Propose, Accepted, Rejected, Release>;
 
-// What goes from one instance to another.
 struct DutyMessage {
   std::string duty;
   LeaseMessage message;
--- a/tests/budgets/digests.cpp
+++ b/tests/budgets/digests.cpp
@@ -11,12 +11,12 @@
 namespace aldersill::tests {
 namespace {
 
-void Add(RunDigest& digest, const duties::SendTo& send) {
+void Add(RunDigest& digest, const duties::SendLeaseMessage& send) {
   digest.Add(send.to);
   digest.Add(duties::EncodeMessage({"budgets", send.message}));
 }
-void Add(RunDigest& digest, const duties::Taken& taken) { digest.Add(taken.term); }
-void Add(RunDigest& digest, const duties::Lost& lost) { digest.Add(lost.term); }
+void Add(RunDigest& digest, const duties::LeaseAcquired& taken) { digest.Add(taken.term); }
+void Add(RunDigest& digest, const duties::LeaseLost& lost) { digest.Add(lost.term); }
 void Add(RunDigest& digest, const budgets::SendQuotaRequest& send) {
   digest.Add(send.to);
   digest.Add(budgets::Encode(send.ask));
--- a/tests/cluster/cluster_scenario.cpp
+++ b/tests/cluster/cluster_scenario.cpp
@@ -46,7 +46,7 @@
   for (int i = 0; i < std::min(members_, random_(2) == 0 ? 3 : 5); ++i)
     options.settings.voters.push_back("n" + std::to_string(i));
   options.settings.lease = 6 * kSecond;
-  options.settings.most_drift = 0.01;
+  options.settings.max_clock_drift = 0.01;
   settings_ = options.settings;
   cluster_ = std::make_unique<VirtualCluster>(options);
   for (int i = 0; i < members_; ++i)
@@ -295,7 +295,8 @@
   cluster_->SetNetwork(tools::Network{});
   Say("all faults are mended");
   const membership::Settings& settings = settings_.membership;
-  cluster_->RunUntil(cluster_->now() + OwnerlessBound(settings, members_) + 4 * settings.anti_entropy_interval);
+  cluster_->RunUntil(cluster_->now() + OwnerlessBound(settings, members_) +
+                     4 * settings.anti_entropy_interval);
 }
 
 void ClusterScenario::CheckViews() {
--- a/tests/cluster/digests.cpp
+++ b/tests/cluster/digests.cpp
@@ -9,16 +9,16 @@
 namespace aldersill::tests {
 namespace {
 
-void Add(RunDigest& digest, const cluster::Send& send) {
+void Add(RunDigest& digest, const cluster::SendPacket& send) {
   digest.Add(send.address);
   digest.Add(membership::Encode(send.packet));
 }
-void Add(RunDigest& digest, const cluster::Probe& probe) {
+void Add(RunDigest& digest, const cluster::StartProbe& probe) {
   digest.Add(probe.number);
   digest.Add(probe.worker);
   digest.Add(probe.address);
 }
-void Add(RunDigest& digest, const cluster::Result& result) {
+void Add(RunDigest& digest, const cluster::DeliverResult& result) {
   digest.Add(result.result.worker);
   digest.Add(duties::EncodeResult(result.result));
 }
--- a/tests/cluster/duties_test.cpp
+++ b/tests/cluster/duties_test.cpp
@@ -69,7 +69,8 @@
 
 class Bench {
  public:
-  explicit Bench(int most_out = 32) : core_(ProbeSettings{"a", 2 * kSecond, kSecond, most_out}, 5) {}
+  explicit Bench(int most_out = 32)
+      : core_(ProbeSettings{"a", 2 * kSecond, kSecond, most_out}, 5) {}
   std::vector<ProbeEffect> Tell(ProbeEvent event) {
     std::vector<ProbeEffect> effects;
     core_.Handle(now_, std::move(event), &effects);
@@ -80,7 +81,7 @@
     const Micros until = now_ + time;
     while (core_.next_due() <= until) {
       now_ = std::max(now_, core_.next_due());
-      for (const ProbeEffect& effect : Tell(ProbeTime{})) {
+      for (const ProbeEffect& effect : Tell(ProbeTimerExpired{})) {
         if (const auto* start = std::get_if<StartProbe>(&effect))
           started.push_back(*start);
       }
@@ -143,11 +144,11 @@
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart, "b")})) == 1);
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart, "b")})) == 0);  // again
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart - kSecond, "c")})) == 0);
-  CHECK(b.core_.counters().too_old == 1);
+  CHECK(b.core_.counters().outdated_results == 1);
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart + kSecond, "c")})) ==
         1);  // from a clock a little ahead
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart + 31 * kSecond, "c")})) == 0);
-  CHECK(b.core_.counters().from_ahead == 1);
+  CHECK(b.core_.counters().results_from_future == 1);
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{{"unknown", 1, "c", Outcome::kServed, 0, {}}})) == 0);
   // What is made here after that goes above what was heard, though this clock is behind.
   b.Tell(MemberJoined{"a", 100});
@@ -156,8 +157,8 @@
     started = b.Wait(10 * kMillisecond);
   b.now_ = kStart;  // the core's own time does not step back
   CHECK(Bench::Told(b.Tell(ProbeEnded{started.front().number, Outcome::kServed, 9, {}})) == 1);
-  CHECK(b.core_.LastOf("w")->origin == "a");
-  CHECK(b.core_.LastOf("w")->stamp > Heard(kStart + kSecond, "c").stamp);
+  CHECK(b.core_.LastResult("w")->origin == "a");
+  CHECK(b.core_.LastResult("w")->stamp > Heard(kStart + kSecond, "c").stamp);
 }
 
 TEST_CASE("a probe answered after its owner changed counts; one that came while we stood still does not") {
@@ -177,7 +178,7 @@
   REQUIRE(started.size() == 1);
   b.now_ += 20 * kSecond;
   CHECK(Bench::Told(b.Tell(ProbeEnded{started[0].number, Outcome::kServed, 9, {}})) == 0);
-  CHECK(b.core_.counters().slept_through == 1);
+  CHECK(b.core_.counters().ended_while_paused == 1);
   // After that it does not probe twice in a row to make up for it.
   CHECK(b.Wait(2 * kSecond).size() <= 2);
 }
@@ -231,7 +232,7 @@
     std::vector<LeaseEffect> effects;
     leases_.at(name).Handle(now_, std::move(event), &effects);
     for (LeaseEffect& effect : effects) {
-      if (auto* send = std::get_if<SendTo>(&effect); send != nullptr && !down_.contains(name))
+      if (auto* send = std::get_if<SendLeaseMessage>(&effect); send != nullptr && !down_.contains(name))
         mail_.push_back({send->to, LeaseMessageReceived{name, std::move(send->message)}});
     }
   }
@@ -239,13 +240,13 @@
     for (const Micros until = now_ + time; now_ < until; now_ += 10 * kMillisecond) {
       for (auto& [name, lease] : leases_) {
         if (!down_.contains(name) && lease.next_due() <= now_)
-          Tell(name, LeaseTime{});
+          Tell(name, LeaseTimerExpired{});
       }
       while (!mail_.empty()) {
-        const auto [to, heard] = mail_.front();
+        const auto [to, results_received] = mail_.front();
         mail_.pop_front();
         if (!down_.contains(to))
-          Tell(to, heard);
+          Tell(to, results_received);
       }
     }
   }
@@ -286,7 +287,7 @@
   // Given up, it passes on without a wait.
   v.down_.clear();
   v.Wait(5 * kSecond);
-  v.Tell(second, GiveUp{});
+  v.Tell(second, LeaseReleaseRequested{});
   const Micros given = v.now_;
   while (v.Holders().empty())
     v.Wait(10 * kMillisecond);
@@ -317,9 +318,9 @@
   std::vector<LeaseEffect> effects;
   lease.Handle(kStart, LeaseStarted{}, &effects);
   const Micros begun = lease.next_due();
-  lease.Handle(begun, LeaseTime{}, &effects);
+  lease.Handle(begun, LeaseTimerExpired{}, &effects);
   REQUIRE(!effects.empty());
-  const Ballot ballot = std::get<Prepare>(std::get<SendTo>(effects.front()).message).ballot;
+  const Ballot ballot = std::get<Prepare>(std::get<SendLeaseMessage>(effects.front()).message).ballot;
   effects.clear();
   // Its own promise is there; another's comes after the round's end, and before its timer is looked at.
   lease.Handle(begun + 2 * kSecond, LeaseMessageReceived{"b", Promise{ballot, std::nullopt, 0}}, &effects);
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -42,7 +42,12 @@
   s.name = name(i), s.epoch = instance.epoch, s.seat = instance.seat;
   const std::uint64_t seed = o_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + instance.life;
   if (i < o_.voters) {
-    duties::LeaseSettings lease{"budgets", s.name, s.epoch, {}, o_.lease, s.most_drift};
+    duties::LeaseSettings lease{.duty = "budgets",
+                                .name = s.name,
+                                .epoch = s.epoch,
+                                .voters = {},
+                                .timespan = o_.lease,
+                                .max_clock_drift = s.most_drift};
     for (int v = 0; v < std::min(o_.voters, size()); ++v)
       lease.voters.push_back(name(v));
     instance.lease = std::make_unique<duties::Lease>(std::move(lease), seed);
@@ -72,7 +77,7 @@
   for (int turn = 0; turn < 2; ++turn) {
     if ((turn == 0) == timers_first) {
       if (instance.lease)
-        ToLease(i, duties::LeaseTime{});
+        ToLease(i, duties::LeaseTimerExpired{});
       ToQuotaClient(i, budgets::QuotaClientTimerExpired{});
       Push(now_, i, Announce{});
     } else {
@@ -136,7 +141,7 @@
       return;
     instance.rings = 0;
     if (instance.lease && instance.lease->next_due() <= LocalTime(i))
-      ToLease(i, duties::LeaseTime{});
+      ToLease(i, duties::LeaseTimerExpired{});
     ToQuotaClient(i, budgets::QuotaClientTimerExpired{});
   } else if (const auto* arrives = std::get_if<Arrives>(&what)) {
     Hear(i, *arrives);
@@ -182,9 +187,9 @@
   for (duties::LeaseEffect& effect : effects) {
     if (on_lease_effect)
       on_lease_effect(i, effect);
-    if (auto* send = std::get_if<duties::SendTo>(&effect)) {
+    if (auto* send = std::get_if<duties::SendLeaseMessage>(&effect)) {
       Send(i, Number(send->to), std::move(send->message));
-    } else if (const auto* taken = std::get_if<duties::Taken>(&effect)) {
+    } else if (const auto* taken = std::get_if<duties::LeaseAcquired>(&effect)) {
       ToQuotaAllocator(i, budgets::TermBegan{taken->term});
       BroadcastResult(i, taken->term);
     } else {
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -55,10 +55,10 @@
   instance.held.clear();
   const std::uint64_t seed = o_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + instance.life;
   instance.core = std::make_unique<cluster::Cluster>(std::move(s), seed);
-  cluster::Workers workers;
+  cluster::WorkersChanged workers;
   for (int w = 0; w < o_.workers; ++w)
-    workers.all.emplace_back(WorkerName(w), "10.9.0.1:80");
-  Tell(i, cluster::Start{static_cast<std::uint64_t>(LocalTime(i) / kMillisecond)});
+    workers.workers.emplace_back(WorkerName(w), "10.9.0.1:80");
+  Tell(i, cluster::Started{static_cast<std::uint64_t>(LocalTime(i) / kMillisecond)});
   if (o_.workers > 0)
     Tell(i, std::move(workers));
 }
@@ -91,7 +91,7 @@
     Tell(i, cluster::TimerExpired{});
 }
 
-void VirtualCluster::Leave(int i) { Tell(i, cluster::Leave{}); }
+void VirtualCluster::Leave(int i) { Tell(i, cluster::LeaveRequested{}); }
 
 void VirtualCluster::Cut(int from, int to) { cuts_.insert({from, to}); }
 
@@ -167,9 +167,9 @@
   for (cluster::Effect& effect : effects) {
     if (on_effect)
       on_effect(i, effect);
-    if (auto* send = std::get_if<cluster::Send>(&effect)) {
+    if (auto* send = std::get_if<cluster::SendPacket>(&effect)) {
       Do(i, std::move(*send));
-    } else if (auto* probe = std::get_if<cluster::Probe>(&effect)) {
+    } else if (auto* probe = std::get_if<cluster::StartProbe>(&effect)) {
       Do(i, std::move(*probe));
     } else if (const auto* news = std::get_if<membership::MembershipChange>(&effect)) {
       if (on_news)
@@ -178,7 +178,7 @@
       if (on_lease)
         on_lease(i, *lease);
     } else if (on_result) {
-      on_result(i, std::get<cluster::Result>(effect).result);
+      on_result(i, std::get<cluster::DeliverResult>(effect).result);
     }
   }
   SetTimer(i);
@@ -206,7 +206,7 @@
   return Chance(n.slow) ? draw(n.delay_least, n.slow_most) : draw(n.delay_least, n.delay_most);
 }
 
-void VirtualCluster::Do(int i, cluster::Send&& e) {
+void VirtualCluster::Do(int i, cluster::SendPacket&& e) {
   auto bytes = std::make_shared<const std::string>(membership::Encode(e.packet));
   Sent& sent = instances_[i].sent;
   ++sent.packets;
@@ -224,7 +224,7 @@
     Push(now_ + Delay(), to->second, Arrives{instances_[i].address, packet, bytes});
 }
 
-void VirtualCluster::Do(int i, cluster::Probe&& e) {
+void VirtualCluster::Do(int i, cluster::StartProbe&& e) {
   if (on_probe)
     on_probe(i, e.worker);
   const Micros took = 500 + random_(5'000);
--- a/tools/virtual_cluster/virtual_cluster.h
+++ b/tools/virtual_cluster/virtual_cluster.h
@@ -121,8 +121,8 @@
   void Push(Micros at, int instance, What what);
   void Deliver(int i, const What& what);
   void Tell(int i, cluster::Event event);
-  void Do(int i, cluster::Send&& e);
-  void Do(int i, cluster::Probe&& e);
+  void Do(int i, cluster::SendPacket&& e);
+  void Do(int i, cluster::StartProbe&& e);
   void SetTimer(int i);
   Micros Delay();
   bool Chance(double share) { return share > 0 && random_() < share * 4294967296.0; }
