--- /dev/null
+++ b/tests/daemon/core_endpoint_list_test.cpp
@@ -0,0 +1,153 @@
+// The reducer: the endpoint list, its lease, and what both mean for attempts.
+#include <doctest/doctest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <variant>
+
+#include "reducer_harness.h"
+
+namespace aldersill {
+namespace {
+
+void CheckNothingIsSent(ReducerHarness& harness) {
+  for (const char* job_class : {"safe", "keyed", "once"}) {
+    harness.Request(3, job_class);
+    CHECK(harness.EffectsOf<StartAttempt>().empty());
+    CHECK(std::get<Rejection>(harness.Single<Answer>().answer).retry_after > 0);
+  }
+}
+
+TEST_CASE("updates from the previous discovery count, and the new one is still polled") {
+  ReducerHarness harness;
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kSnapshot,
+                          {ReducerHarness::Worker("a"), ReducerHarness::Worker("b")});
+  harness.Post(EndpointListWatchFailed{});  // the first poll of the new discovery
+  const auto timers = harness.EffectsOf<SetTimer>();
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kDeltaFromPreviousSource,
+                          {ReducerHarness::Worker("a", WorkerEndpoint::State::kDraining)});
+  for (std::uint64_t client = 1; client <= 8; ++client) {
+    harness.Request(client, "once");
+    CHECK(harness.Single<StartAttempt>().worker == "b");
+  }
+  std::size_t watches = 0;
+  for (const SetTimer& timer : timers) {
+    harness.Post(TimerDue{timer.key}, timer.delay);
+    watches += harness.EffectsOf<WatchEndpointList>().size();
+  }
+  CHECK(watches == 1);
+}
+
+TEST_CASE("an unsent attempt never reaches a worker that starts draining") {
+  ReducerHarness harness;
+  harness.Request(1, "once");
+  const auto start = harness.Single<StartAttempt>();
+  harness.UpdateEndpoints(
+      EndpointListUpdate::Form::kDelta,
+      {ReducerHarness::Worker("a", WorkerEndpoint::State::kDraining), ReducerHarness::Worker("b")});
+  CHECK(harness.Single<StopAttempt>().attempt == start.attempt);
+  CHECK(harness.Single<StartAttempt>().worker == "b");  // it never ran, so even an unsafe job is retried
+}
+
+TEST_CASE("an unsent attempt never reaches a worker that has restarted") {
+  ReducerHarness harness;
+  harness.Request(1, "once");
+  const auto start = harness.Single<StartAttempt>();
+  WorkerEndpoint again = ReducerHarness::Worker("a");
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kDelta,
+                          {again, ReducerHarness::Worker("b")});  // an update without a restart
+  CHECK(harness.EffectsOf<StopAttempt>().empty());
+  again.started = kTestStart;
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kDelta, {again});
+  CHECK(harness.Single<StopAttempt>().attempt == start.attempt);
+  CHECK(harness.Single<StartAttempt>().worker == "b");
+}
+
+TEST_CASE("once the list's lease has expired, nothing new is sent until it is renewed") {
+  ReducerHarness harness;
+  harness.Post(EndpointListLease{3 * kSecond});
+  const auto timer = harness.Single<SetTimer>();
+  harness.Request(1, "once");
+  const auto sent = harness.Single<StartAttempt>();
+  harness.Post(AttemptSent{sent.attempt});
+  harness.Request(2, "safe");
+  const auto connecting = harness.Single<StartAttempt>();
+  SUBCASE("by the timer") {
+    harness.Post(EndpointListLease{kSecond});  // ends before the timer, after the lease before
+    harness.Post(EndpointListLease{2 * kSecond}, 900 * kMillisecond);
+    harness.Post(TimerDue{timer.key}, 1'999 * kMillisecond);
+    CHECK(harness.EffectsOf<StopAttempt>().empty());
+    harness.Post(TimerDue{timer.key}, harness.Single<SetTimer>().delay);
+    // A connection that comes up late must not send. The attempt never ran: a later retry is safe.
+    CHECK(harness.Single<StopAttempt>().attempt == connecting.attempt);
+  }
+  SUBCASE("by an event before the timer") {
+    harness.LeaveClient(9, 3 * kSecond);
+    CHECK(harness.Single<StopAttempt>().attempt == connecting.attempt);
+  }
+  SUBCASE("at once") {
+    harness.Post(EndpointListLease{0});
+    CHECK(harness.Single<StopAttempt>().attempt == connecting.attempt);
+  }
+  CheckNothingIsSent(harness);
+  harness.UpdateEndpoints(
+      EndpointListUpdate::Form::kCached,
+      {ReducerHarness::Worker("a"), ReducerHarness::Worker("b")});  // from a source that is not watched
+  harness.Request(4, "safe");
+  CHECK(harness.EffectsOf<StartAttempt>().empty());
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kSnapshot, {ReducerHarness::Worker("b")});
+  harness.Post(EndpointListLease{kSecond});
+  harness.Request(5, "safe");
+  CHECK(harness.Single<StartAttempt>().worker == "b");
+  harness.EndAttempt(sent.attempt, Outcome::kServed, "r");
+  CHECK(std::get<Served>(harness.Single<Answer>().answer).result == "r");
+}
+
+TEST_CASE("a send that is reported just as the list expires counts: the attempt may run") {
+  ReducerHarness harness;
+  harness.Post(EndpointListLease{kSecond});
+  harness.Request(1, "once", "", 5 * kSecond);
+  const auto start = harness.Single<StartAttempt>();
+  harness.Post(AttemptConnected{start.attempt}, 999 * kMillisecond - 1);
+  CHECK(harness.Single<SendAttempt>().attempt == start.attempt);
+  harness.Post(AttemptSent{start.attempt});  // the first event after the expiry
+  CHECK(harness.EffectsOf<StopAttempt>().empty());
+  CHECK(harness.EffectsOf<Answer>().empty());
+  harness.EndAttempt(start.attempt, Outcome::kLost, "", 0);
+  CHECK(std::holds_alternative<Failure>(harness.Single<Answer>().answer));
+}
+
+TEST_CASE("a sent attempt stays at a worker that is no longer listed, and an unsafe job is not retried") {
+  ReducerHarness harness;
+  harness.Request(1, "once");
+  const auto start = harness.Single<StartAttempt>();
+  harness.Post(AttemptSent{start.attempt});
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kSnapshot,
+                          {ReducerHarness::Worker("b")});  // "a" is not in the snapshot
+  CHECK(harness.EffectsOf<StopAttempt>().empty());
+  harness.EndAttempt(start.attempt, Outcome::kLost);
+  CHECK(harness.EffectsOf<StartAttempt>().empty());
+  CHECK(std::holds_alternative<Failure>(harness.Single<Answer>().answer));
+}
+
+TEST_CASE("a session's update does not count as discovery's: the list is still polled") {
+  ReducerHarness harness;
+  const auto timers = harness.EffectsOf<SetTimer>();  // among them the decision module's for the poll
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kDelta, {ReducerHarness::Worker("s")},
+                          WorkerEndpoint::Source::kSession);
+  bool polled = false;
+  for (const SetTimer& timer : timers) {
+    if (timer.key.wait != TimerKey::Wait::kDispatcher)
+      continue;
+    harness.Post(TimerDue{timer.key}, 200 * kMillisecond);
+    polled = polled || !harness.EffectsOf<WatchEndpointList>().empty();
+  }
+  CHECK(polled);
+  harness.UpdateEndpoints(EndpointListUpdate::Form::kSnapshot,
+                          {});  // does not remove the workers of sessions
+  CHECK(harness.core().endpoints().contains("s"));
+  CHECK_FALSE(harness.core().endpoints().contains("a"));
+}
+
+}  // namespace
+}  // namespace aldersill
