--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -11,6 +11,7 @@
 #include <string_view>
 #include <utility>
 
+#include "net/event_ptr.h"
 #include "net/unique_descriptor.h"
 #include "net/unix_address.h"
 
@@ -90,7 +91,8 @@
     throw std::runtime_error("control.socket: another instance listens on " + path_);
   RemoveSocketFile(path_);
   UniqueDescriptor bound = BindForOwner(path_, address);
-  EventPtr<evconnlistener> listener(evconnlistener_new(base, &LineServer::OnAccept, &server_,
+  const AcceptCallback accepted = server_.accept_callback();
+  EventPtr<evconnlistener> listener(evconnlistener_new(base, accepted.function, accepted.arg,
                                                        LEV_OPT_CLOSE_ON_FREE, kBacklog, bound.get()));
   if (listener == nullptr)
     throw std::runtime_error("control.socket: cannot listen on " + path_);
--- a/src/daemon/admin_component.cpp
+++ b/src/daemon/admin_component.cpp
@@ -8,7 +8,9 @@
 #include "daemon/descriptor_shares.h"
 #include "daemon/listener_log.h"
 #include "log/log.h"
+#include "net/event_ptr.h"
 #include "net/line_server.h"
+#include "net/listener.h"
 
 namespace aldersill {
 namespace {
@@ -30,13 +32,13 @@
   void OnAllStarted() override {
     if (!address_)
       return;
-    const int port = PortOf(evconnlistener_get_fd(const_cast<evconnlistener*>(server_.listener())));
+    const int port = LocalPort(evconnlistener_get_fd(const_cast<evconnlistener*>(server_.listener())));
     LogListener("mgmt", address_->host, port);
   }
 
   void PrepareReload(const Config& next) override {
     if (next.mgmt && next.mgmt != address_)
-      prepared_listener_ = ListenOn(context_.base, *next.mgmt, "mgmt", &LineServer::OnAccept, &server_);
+      prepared_listener_ = OpenListener(context_.base, *next.mgmt, "mgmt", server_.accept_callback());
   }
   void CancelReload() override { prepared_listener_.reset(); }
   void ApplyReload(const Config& config) override {
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -16,6 +16,7 @@
 #include "log/log.h"
 #include "membership/transport.h"
 #include "net/message_pack.h"
+#include "net/timer.h"
 
 namespace aldersill {
 namespace {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -9,6 +9,7 @@
 #include "daemon/components.h"
 #include "log/log.h"
 #include "log/trace.h"
+#include "net/steady_clock.h"
 
 namespace aldersill {
 namespace {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -13,7 +13,8 @@
 #include "config/config.h"
 #include "core/reducer.h"
 #include "daemon/component.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill {
 
--- a/src/daemon/discovery_watcher.cpp
+++ b/src/daemon/discovery_watcher.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "log/log.h"
-#include "net/event_loop.h"
+#include "net/steady_clock.h"
 
 namespace aldersill {
 namespace {
--- a/src/daemon/faktory_component.cpp
+++ b/src/daemon/faktory_component.cpp
@@ -7,6 +7,7 @@
 #include "daemon/descriptor_shares.h"
 #include "daemon/listener_log.h"
 #include "faktory/frontend.h"
+#include "net/event_ptr.h"
 
 namespace aldersill {
 namespace {
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -22,6 +22,7 @@
 #include "daemon/component.h"
 #include "http/frontend.h"
 #include "http/worker_client.h"
+#include "net/timer.h"
 #include "net/unique_descriptor.h"
 #include "upgrade/descriptor_channel.h"
 #include "upgrade/job_codec.h"
--- a/src/daemon/platform_component.cpp
+++ b/src/daemon/platform_component.cpp
@@ -15,6 +15,9 @@
 #include "http/frontend.h"
 #include "http/worker_client.h"
 #include "log/log.h"
+#include "net/event_ptr.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill {
 namespace {
--- a/src/daemon/upgrade_component.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -9,7 +9,8 @@
 
 #include "daemon/components.h"
 #include "log/log.h"
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/timer.h"
 #include "upgrade/process_group.h"
 
 namespace aldersill {
--- a/src/faktory/frontend.cpp
+++ b/src/faktory/frontend.cpp
@@ -5,6 +5,8 @@
 #include <vector>
 
 #include "log/log.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
 
 namespace aldersill::faktory {
 namespace {
@@ -31,7 +33,7 @@
 Frontend::~Frontend() = default;
 
 EventPtr<evconnlistener> Frontend::Open(const Endpoint& listen) {
-  return ListenOn(base_, listen, "faktory.listen", &Frontend::OnAccept, this);
+  return OpenListener(base_, listen, "faktory.listen", {.function = &Frontend::OnAccept, .arg = this});
 }
 
 void Frontend::ApplySettings(FrontendSettings settings, EventPtr<evconnlistener> listener) {
@@ -46,7 +48,7 @@
   listener_ = std::move(listener);
 }
 
-int Frontend::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
+int Frontend::port() const { return LocalPort(evconnlistener_get_fd(listener_.get())); }
 
 void Frontend::OnAccept(evconnlistener* /*listener*/, evutil_socket_t fd, sockaddr* /*peer*/, int /*size*/,
                         void* self) {
--- a/src/faktory/frontend.h
+++ b/src/faktory/frontend.h
@@ -13,7 +13,9 @@
 #include "faktory/codec.h"
 #include "faktory/session.h"
 #include "faktory/worker_registry.h"
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::faktory {
 
--- a/src/http/connect_probe.h
+++ b/src/http/connect_probe.h
@@ -9,7 +9,9 @@
 #include <functional>
 #include <utility>
 
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill {
 
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -11,6 +11,7 @@
 #include "endpoint_list/codec.h"
 #include "log/log.h"
 #include "net/json_message.h"
+#include "net/steady_clock.h"
 
 namespace aldersill {
 namespace {
--- a/src/http/discovery_client.h
+++ b/src/http/discovery_client.h
@@ -11,7 +11,9 @@
 #include "core/types.h"
 #include "http/connect_probe.h"
 #include "http/watch_scheduler.h"
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill {
 
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -11,6 +11,8 @@
 #include "core/text.h"
 #include "http/request_reader.h"
 #include "log/log.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
 
 namespace aldersill {
 namespace {
@@ -420,8 +422,9 @@
 HttpFrontend::~HttpFrontend() { LogRejections(true); }
 
 EventPtr<evconnlistener> HttpFrontend::CreateListener(const Endpoint& listen) {
-  EventPtr<evconnlistener> listener =
-      BindOn(base_, listen, "listen", settings_.shared_endpoint, &HttpFrontend::OnAccept, this);
+  EventPtr<evconnlistener> listener = BindListener(
+      base_, listen, "listen", settings_.shared_endpoint ? PortSharing::kShared : PortSharing::kExclusive,
+      {.function = &HttpFrontend::OnAccept, .arg = this});
   evconnlistener_set_error_cb(listener.get(), &HttpFrontend::OnAcceptFailed);
   return listener;
 }
@@ -441,7 +444,7 @@
   aldersill::StartListening(listener_.get());
 }
 
-int HttpFrontend::port() const { return PortOf(evconnlistener_get_fd(listener_.get())); }
+int HttpFrontend::port() const { return LocalPort(evconnlistener_get_fd(listener_.get())); }
 
 void HttpFrontend::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
   auto* frontend = static_cast<HttpFrontend*>(self);
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -14,7 +14,11 @@
 
 #include "core/types.h"
 #include "http/rejection_log_throttle.h"
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill {
 
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -12,6 +12,8 @@
 #include "http/codec.h"
 #include "log/log.h"
 #include "net/endpoint.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill {
 namespace {
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -15,7 +15,7 @@
 #include <unordered_map>
 
 #include "core/types.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
 
 namespace aldersill {
 
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -14,6 +14,7 @@
 #include <utility>
 
 #include "membership/codec.h"
+#include "net/listener.h"
 
 namespace aldersill::membership {
 namespace {
@@ -43,7 +44,7 @@
     throw std::runtime_error("membership.listen: cannot listen on " + ToText(listen) + ": " +
                              std::strerror(error));
   }
-  port_ = PortOf(fd_);
+  port_ = LocalPort(fd_);
   readable_.reset(event_new(base, fd_, EV_READ | EV_PERSIST, &Transport::OnReadable, this));
   event_add(readable_.get(), nullptr);
 }
--- a/src/membership/transport.h
+++ b/src/membership/transport.h
@@ -11,7 +11,7 @@
 #include "membership/sealer.h"
 #include "membership/types.h"
 #include "net/endpoint.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
 
 namespace aldersill::membership {
 
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -24,6 +24,14 @@
 
 std::string ToText(const Endpoint& endpoint) { return endpoint.host + ":" + std::to_string(endpoint.port); }
 
+sockaddr_in ToSockaddr(const Endpoint& endpoint) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(endpoint.port);
+  inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr);
+  return address;
+}
+
 bool IsLoopback(const Endpoint& endpoint) { return endpoint.host.starts_with("127."); }
 
 }  // namespace aldersill
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -1,7 +1,9 @@
-// A numeric address and a port: what every part that listens or connects is told.
+// The address and port of a TCP or UDP socket.
 #ifndef ALDERSILL_SRC_NET_ENDPOINT_H_
 #define ALDERSILL_SRC_NET_ENDPOINT_H_
 
+#include <netinet/in.h>
+
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -13,9 +15,12 @@
   std::uint16_t port = 0;
   bool operator==(const Endpoint&) const = default;
 };
-// "address:port"; nothing for anything else.
+
+// Parses "address:port"; nothing for any other text.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
+// The inverse of ParseEndpoint.
 std::string ToText(const Endpoint& endpoint);
+sockaddr_in ToSockaddr(const Endpoint& endpoint);
 bool IsLoopback(const Endpoint& endpoint);
 
 }  // namespace aldersill
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -3,9 +3,26 @@
 #include <sys/socket.h>
 
 #include <cstdlib>
+#include <optional>
 #include <utility>
 
+#include "net/timer.h"
+
 namespace aldersill {
+namespace {
+
+// Removes one line from the buffer; nothing if it holds no complete line.
+std::optional<std::string> TakeLine(evbuffer* input) {
+  std::size_t size = 0;
+  char* text = evbuffer_readln(input, &size, EVBUFFER_EOL_CRLF);
+  if (text == nullptr)
+    return std::nullopt;
+  std::string line(text, size);
+  std::free(text);
+  return line;
+}
+
+}  // namespace
 
 class LineServer::Connection {
  public:
@@ -13,59 +30,58 @@
       : server_(server),
         number_(number),
         stream_(bufferevent_socket_new(server->base_, fd, BEV_OPT_CLOSE_ON_FREE)),
-        patience_(server->base_, [this] { End(); }) {
+        timeout_(server->base_, [this] { Close(); }) {
     bufferevent_setcb(stream_.get(), &Connection::OnRead, &Connection::OnWritten, &Connection::OnEvent, this);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
-    patience_.Set(server->limits_.patience);
+    timeout_.Set(server->limits_.connection_timeout);
   }
 
  private:
-  void End() { server_->connections_.erase(number_); }
+  // Destroys this object.
+  void Close() { server_->connections_.erase(number_); }
 
-  static void OnRead(bufferevent* stream, void* self) {
-    auto* connection = static_cast<Connection*>(self);
-    evbuffer* input = bufferevent_get_input(stream);
-    if (connection->answered_) {
-      evbuffer_drain(input, evbuffer_get_length(input));  // what comes behind the line is no call
+  void Read() {
+    evbuffer* input = bufferevent_get_input(stream_.get());
+    if (answered_) {
+      evbuffer_drain(input, evbuffer_get_length(input));  // only the first line is a request
       return;
     }
-    std::size_t size = 0;
-    char* text = evbuffer_readln(input, &size, EVBUFFER_EOL_CRLF);
-    const std::size_t unfinished = text == nullptr ? evbuffer_get_length(input) : size;
-    const std::string line(text == nullptr ? "" : text, text == nullptr ? 0 : size);
-    std::free(text);
-    if (unfinished > connection->server_->limits_.most_line)
-      return connection->End();
-    if (text == nullptr)
+    const std::optional<std::string> line = TakeLine(input);
+    const std::size_t size = line ? line->size() : evbuffer_get_length(input);
+    if (size > server_->limits_.max_line_bytes)
+      return Close();
+    if (!line)
       return;
-    connection->answered_ = true;
-    const std::string answer = connection->server_->answer_(line);
-    bufferevent_write(stream, answer.data(), answer.size());
+    answered_ = true;
+    const std::string answer = server_->handler_(*line);
+    bufferevent_write(stream_.get(), answer.data(), answer.size());
   }
+
+  static void OnRead(bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); }
   static void OnWritten(bufferevent* stream, void* self) {
-    auto* connection = static_cast<Connection*>(self);
-    // Our end first: a close over bytes that are not read would reset the connection, and the answer with it.
-    if (connection->answered_)
+    // Only the sending side is closed: to close a socket with unread bytes would reset the connection, and
+    // the peer could lose the answer.
+    if (static_cast<Connection*>(self)->answered_)
       shutdown(bufferevent_getfd(stream), SHUT_WR);
   }
-  static void OnEvent(bufferevent*, short, void* self) { static_cast<Connection*>(self)->End(); }
+  static void OnEvent(bufferevent*, short, void* self) { static_cast<Connection*>(self)->Close(); }
 
   LineServer* server_;
   const std::uint64_t number_;
   EventPtr<bufferevent> stream_;
-  Timer patience_;
+  Timer timeout_;
   bool answered_ = false;
 };
 
-LineServer::LineServer(event_base* base, Limits limits, Answer answer)
-    : base_(base), limits_(limits), answer_(std::move(answer)) {}
+LineServer::LineServer(event_base* base, Limits limits, Handler handler)
+    : base_(base), limits_(limits), handler_(std::move(handler)) {}
 LineServer::~LineServer() = default;
 
 void LineServer::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
   auto* server = static_cast<LineServer*>(self);
-  if (server->connections_.size() >= server->limits_.most_connections)
+  if (server->connections_.size() >= server->limits_.max_connections)
     server->connections_.erase(server->connections_.begin());
-  const std::uint64_t number = server->next_++;
+  const std::uint64_t number = server->next_number_++;
   server->connections_.emplace(number, std::make_unique<Connection>(server, number, fd));
 }
 
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -1,46 +1,52 @@
-// A server on which a caller writes one line, gets one answer, and is hung up on.
+// A server for one-line requests: it reads one line from each connection, writes one answer and closes.
 #ifndef ALDERSILL_SRC_NET_LINE_SERVER_H_
 #define ALDERSILL_SRC_NET_LINE_SERVER_H_
 
 #include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "net/event_loop.h"
+#include "core/types.h"
+#include "net/event_ptr.h"
+#include "net/listener.h"
 
 namespace aldersill {
 
 class LineServer {
  public:
   struct Limits {
-    std::size_t most_connections = 8;  // one more ends the oldest
-    std::size_t most_line = 128;       // bytes; a longer line ends its connection
-    Micros patience = 2 * kSecond;     // for a connection, from its accept to its end
+    std::size_t max_connections = 8;          // one more closes the oldest
+    std::size_t max_line_bytes = 128;         // a longer line closes its connection
+    Micros connection_timeout = 2 * kSecond;  // from the accept of a connection to its close
   };
-  // `answer`: to a line without its end; what it gives is written as it is.
-  using Answer = std::function<std::string(const std::string& line)>;
+  // Maps a line, without its line end, to the bytes that are written back.
+  using Handler = std::function<std::string(const std::string& line)>;
 
-  LineServer(event_base* base, Limits limits, Answer answer);
+  LineServer(event_base* base, Limits limits, Handler handler);
   ~LineServer();
   LineServer(const LineServer&) = delete;
   LineServer& operator=(const LineServer&) = delete;
 
-  // To be given to the listener that this server then takes over.
-  static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
+  // The callback for a listener that will be given to Listen.
+  AcceptCallback accept_callback() { return {.function = &LineServer::OnAccept, .arg = this}; }
+  // Takes ownership of the listener, in place of an earlier one.
   void Listen(EventPtr<evconnlistener> listener) { listener_ = std::move(listener); }
   const evconnlistener* listener() const { return listener_.get(); }
 
  private:
   class Connection;
 
+  static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
+
   event_base* base_;
   const Limits limits_;
-  const Answer answer_;
+  const Handler handler_;
   EventPtr<evconnlistener> listener_;
-  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // in the order of their accepts
-  std::uint64_t next_ = 0;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by number, so the oldest comes first
+  std::uint64_t next_number_ = 0;
 };
 
 }  // namespace aldersill
--- a/src/snmp/agent.cpp
+++ b/src/snmp/agent.cpp
@@ -21,6 +21,7 @@
 #include <utility>
 
 #include "log/log.h"
+#include "net/listener.h"
 
 namespace aldersill::snmp {
 namespace {
@@ -150,7 +151,7 @@
   init_snmp("aldersill");
   RegisterMib();
   const int socket = ListenOnUdp(listen);
-  port_ = PortOf(socket);
+  port_ = LocalPort(socket);
   readable_.reset(event_new(base, socket, EV_READ | EV_PERSIST, &Agent::OnReadable, this));
   event_add(readable_.get(), nullptr);
 }
--- a/src/snmp/agent.h
+++ b/src/snmp/agent.h
@@ -6,7 +6,8 @@
 #include <functional>
 #include <memory>
 
-#include "net/event_loop.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
 #include "snmp/objects.h"
 
 namespace aldersill::snmp {
--- a/src/upgrade/descriptor_channel.cpp
+++ b/src/upgrade/descriptor_channel.cpp
@@ -9,6 +9,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "net/event_ptr.h"
 #include "net/unix_address.h"
 
 namespace aldersill::upgrade {
--- a/src/upgrade/descriptor_channel.h
+++ b/src/upgrade/descriptor_channel.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
 #include "net/unique_descriptor.h"
 
 namespace aldersill::upgrade {
--- a/tests/daemon/discovery_crossings_test.cpp
+++ b/tests/daemon/discovery_crossings_test.cpp
@@ -13,6 +13,10 @@
 
 #include "http/connect_probe.h"
 #include "http/discovery_client.h"
+#include "net/event_ptr.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill {
 namespace {
@@ -45,9 +49,11 @@
   explicit Scene(Script script, Micros drain_grace = 300 * kMillisecond)
       : base_(event_base_new()),
         script_(std::move(script)),
-        listener_(ListenOn(base_.get(), {"127.0.0.1", 0}, "discovery", &Scene::OnAccept, this)),
+        listener_(OpenListener(base_.get(), {"127.0.0.1", 0}, "discovery",
+                               {.function = &Scene::OnAccept, .arg = this})),
         dribble_(base_.get(), [this] { Dribble(); }),
-        endpoint_{"127.0.0.1", static_cast<std::uint16_t>(PortOf(evconnlistener_get_fd(listener_.get())))} {
+        endpoint_{"127.0.0.1",
+                  static_cast<std::uint16_t>(LocalPort(evconnlistener_get_fd(listener_.get())))} {
     const WatchScheduler::Rules rules{WatchScheduler::Kind::kPolled, 10 * kSecond, drain_grace};
     WatchScheduler clock(rules, PollBackoff(1, 5 * kSecond, 7));
     clock.Start(SteadyNow(), 10 * kSecond);
--- a/tests/daemon/worker_client_test.cpp
+++ b/tests/daemon/worker_client_test.cpp
@@ -17,6 +17,10 @@
 #include <utility>
 #include <variant>
 
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
+#include "net/listener.h"
+
 namespace aldersill {
 namespace {
 
@@ -74,7 +78,7 @@
     job->job_class = "cobro";
     job->target = "/";
     job->body = body;
-    link.Start({kAttempt, "w", "127.0.0.1:" + std::to_string(PortOf(listener_.fd())), {}, job, kSecond});
+    link.Start({kAttempt, "w", "127.0.0.1:" + std::to_string(LocalPort(listener_.fd())), {}, job, kSecond});
     REQUIRE(listener_.WaitReadable());
   }
 
--- a/tests/fleet/cluster_membership.h
+++ b/tests/fleet/cluster_membership.h
@@ -15,6 +15,7 @@
 #include "fleet/control_request.h"
 #include "fleet/datagram_links.h"
 #include "fleet/run_context.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/control_request.h
+++ b/tests/fleet/control_request.h
@@ -6,7 +6,8 @@
 #include <functional>
 #include <string>
 
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/datagram_links.cpp
+++ b/tests/fleet/datagram_links.cpp
@@ -6,6 +6,10 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "net/endpoint.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
+
 namespace aldersill::fleet {
 namespace {
 
@@ -25,7 +29,7 @@
     const sockaddr_in any = ToSockaddr({"127.0.0.1", 0});
     if (endpoint.fd < 0 || bind(endpoint.fd, reinterpret_cast<const sockaddr*>(&any), sizeof(any)) != 0)
       throw std::runtime_error("a datagram link cannot bind its socket");
-    endpoint.port = static_cast<std::uint16_t>(PortOf(endpoint.fd));
+    endpoint.port = static_cast<std::uint16_t>(LocalPort(endpoint.fd));
     endpoint.readable.reset(
         event_new(base, endpoint.fd, EV_READ | EV_PERSIST, &DatagramLinks::OnReadable, &endpoint));
     event_add(endpoint.readable.get(), nullptr);
--- a/tests/fleet/datagram_links.h
+++ b/tests/fleet/datagram_links.h
@@ -14,7 +14,8 @@
 #include <utility>
 #include <vector>
 
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/discovery.cpp
+++ b/tests/fleet/discovery.cpp
@@ -8,6 +8,9 @@
 #include <stdexcept>
 #include <utility>
 
+#include "net/endpoint.h"
+#include "net/listener.h"
+
 namespace aldersill::fleet {
 namespace {
 
@@ -51,7 +54,7 @@
   socket_ = evhttp_bind_socket_with_handle(server_.get(), "127.0.0.1", port);
   if (socket_ == nullptr)
     throw std::runtime_error("discovery cannot listen");
-  port_ = static_cast<std::uint16_t>(PortOf(evhttp_bound_socket_get_fd(socket_)));
+  port_ = static_cast<std::uint16_t>(LocalPort(evhttp_bound_socket_get_fd(socket_)));
 }
 
 // Keeps the port bound, so that no other process gets it.
--- a/tests/fleet/dispatchers.cpp
+++ b/tests/fleet/dispatchers.cpp
@@ -5,6 +5,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "net/steady_clock.h"
+
 namespace aldersill::fleet {
 namespace {
 
--- a/tests/fleet/dispatchers.h
+++ b/tests/fleet/dispatchers.h
@@ -13,6 +13,7 @@
 #include "fleet/cluster_membership.h"
 #include "fleet/fleet_discovery.h"
 #include "fleet/run_context.h"
+#include "net/event_ptr.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/fleet_run.cpp
+++ b/tests/fleet/fleet_run.cpp
@@ -15,7 +15,9 @@
 #include "fleet/service_clients.h"
 #include "fleet/worker_links.h"
 #include "fleet/worker_stand_ins.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 namespace {
--- a/tests/fleet/idle_clients.cpp
+++ b/tests/fleet/idle_clients.cpp
@@ -2,6 +2,10 @@
 
 #include <string_view>
 
+#include "net/endpoint.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
+
 namespace aldersill::fleet {
 namespace {
 
--- a/tests/fleet/idle_clients.h
+++ b/tests/fleet/idle_clients.h
@@ -8,6 +8,8 @@
 
 #include "fleet/dispatchers.h"
 #include "fleet/run_context.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/recorder.cpp
+++ b/tests/fleet/recorder.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "net/steady_clock.h"
+
 namespace aldersill::fleet {
 namespace {
 
--- a/tests/fleet/recorder.h
+++ b/tests/fleet/recorder.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fleet/observation.h"
-#include "net/event_loop.h"
+#include "net/steady_clock.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -8,6 +8,10 @@
 #include <stdexcept>
 #include <utility>
 
+#include "net/endpoint.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
+
 namespace aldersill::fleet {
 namespace {
 
@@ -34,7 +38,7 @@
                                           reinterpret_cast<const sockaddr*>(&any), sizeof(any)));
   if (listener_ == nullptr)
     throw std::runtime_error("a relay cannot listen");
-  port_ = static_cast<std::uint16_t>(PortOf(evconnlistener_get_fd(listener_.get())));
+  port_ = static_cast<std::uint16_t>(LocalPort(evconnlistener_get_fd(listener_.get())));
   sweep_ = std::make_unique<Timer>(
       base, [this] { std::erase_if(flows_, [](const Flow& flow) { return flow.closed; }); });
 }
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -12,7 +12,8 @@
 #include <memory>
 #include <string>
 
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/scheduler.cpp
+++ b/tests/fleet/scheduler.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "net/timer.h"
+
 namespace aldersill::fleet {
 
 void Scheduler::RunIn(int ms, std::function<void()> action) {
--- a/tests/fleet/service_clients.cpp
+++ b/tests/fleet/service_clients.cpp
@@ -4,6 +4,8 @@
 
 #include <utility>
 
+#include "net/steady_clock.h"
+
 namespace aldersill::fleet {
 namespace {
 
--- a/tests/fleet/service_clients.h
+++ b/tests/fleet/service_clients.h
@@ -10,6 +10,7 @@
 
 #include "fleet/dispatchers.h"
 #include "fleet/run_context.h"
+#include "net/event_ptr.h"
 
 namespace aldersill::fleet {
 
--- a/tests/fleet/worker_stand_ins.cpp
+++ b/tests/fleet/worker_stand_ins.cpp
@@ -5,6 +5,10 @@
 #include <utility>
 
 #include "fleet/discovery.h"
+#include "net/event_ptr.h"
+#include "net/listener.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 namespace {
@@ -31,7 +35,7 @@
   auto* socket = evhttp_bind_socket_with_handle(worker->server.get(), "127.0.0.1", 0);
   if (socket == nullptr)
     throw std::runtime_error("a worker cannot listen");
-  worker->port = static_cast<std::uint16_t>(PortOf(evhttp_bound_socket_get_fd(socket)));
+  worker->port = static_cast<std::uint16_t>(LocalPort(evhttp_bound_socket_get_fd(socket)));
   evhttp_set_gencb(worker->server.get(), &WorkerStandIns::OnRequest, worker.get());
 }
 
--- a/tests/fleet/worker_stand_ins.h
+++ b/tests/fleet/worker_stand_ins.h
@@ -11,6 +11,8 @@
 #include <vector>
 
 #include "fleet/run_context.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::fleet {
 
