--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -12,6 +12,7 @@
 #include <utility>
 
 #include "net/event_ptr.h"
+#include "net/listener.h"
 #include "net/unique_descriptor.h"
 #include "net/unix_address.h"
 
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -7,6 +7,7 @@
 #include "http/codec.h"
 #include "http/http_response.h"
 #include "log/log.h"
+#include "net/event_ptr.h"
 #include "net/steady_clock.h"
 
 namespace aldersill {
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -18,6 +18,7 @@
 #include "http/drain_schedule.h"
 #include "http/rejection_log_throttle.h"
 #include "http/request_memory.h"
+#include "net/event_ptr.h"
 #include "net/listener.h"
 #include "net/timer.h"
 
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -127,9 +127,9 @@
 
 // Returns how many bytes it has read.
 std::size_t RequestReader::Parse(std::string_view bytes) {
-  static const http_parser_settings kSettings = Callbacks();
+  static const http_parser_settings settings = Callbacks();
   const std::size_t body_before = request_.body.size();
-  const std::size_t parsed = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
+  const std::size_t parsed = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
   if (body_too_large_)
     throw BadRequest(413, "the body is too large");
   if (!complete_ && HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
--- a/src/http/watch_scheduler.cpp
+++ b/src/http/watch_scheduler.cpp
@@ -1,12 +1,11 @@
 #include "http/watch_scheduler.h"
 
 #include <algorithm>
-#include <utility>
 
 namespace aldersill {
 
-WatchScheduler::WatchScheduler(Settings settings, PollBackoff backoff)
-    : settings_(settings), backoff_(std::move(backoff)) {}
+WatchScheduler::WatchScheduler(Settings settings, const PollBackoff& backoff)
+    : settings_(settings), backoff_(backoff) {}
 
 // ---- Starts and moves ----
 
--- a/src/http/watch_scheduler.h
+++ b/src/http/watch_scheduler.h
@@ -39,7 +39,7 @@
   static constexpr Micros kNotificationBound = 6 * kSecond;
   static_assert(kLongPollWait + 2 * kSecond <= kNotificationBound);
 
-  WatchScheduler(Settings settings, PollBackoff backoff);
+  WatchScheduler(Settings settings, const PollBackoff& backoff);
 
   // A process start, or a discovery at a new address. The known list may be acted on for `validity` from now.
   void Start(Micros now, Micros validity);
--- a/src/http/worker_response_reader.cpp
+++ b/src/http/worker_response_reader.cpp
@@ -38,8 +38,8 @@
 }
 
 void WorkerResponseReader::Read(std::string_view bytes) {
-  static const http_parser_settings kSettings = Callbacks();
-  http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
+  static const http_parser_settings settings = Callbacks();
+  http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
 }
 
 void WorkerResponseReader::ReadEnd() { Read({}); }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,6 +13,10 @@
 namespace aldersill {
 namespace {
 
+constexpr int kBacklog = 512;
+constexpr int kListenLater = 0;  // as the backlog: libevent does not call listen() itself
+constexpr unsigned kListenerFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_DISABLED;
+
 // A non-blocking TCP socket that is bound to `endpoint`; -1, with errno set, if that fails.
 evutil_socket_t BindSocket(const Endpoint& endpoint, PortSharing sharing) {
   const sockaddr_in address = ToSockaddr(endpoint);
@@ -33,12 +37,10 @@
 
 EventPtr<evconnlistener> BindListener(event_base* base, const Endpoint& endpoint, const char* field,
                                       PortSharing sharing, AcceptCallback accepted) {
-  constexpr int kListenLater = 0;  // as the backlog: libevent does not call listen() itself
-  constexpr unsigned kFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_DISABLED;
   const evutil_socket_t fd = BindSocket(endpoint, sharing);
   const int error = errno;
   EventPtr<evconnlistener> listener(
-      fd >= 0 ? evconnlistener_new(base, accepted.function, accepted.arg, kFlags, kListenLater, fd)
+      fd >= 0 ? evconnlistener_new(base, accepted.function, accepted.arg, kListenerFlags, kListenLater, fd)
               : nullptr);
   if (listener == nullptr) {
     if (fd >= 0)
@@ -52,7 +54,6 @@
 }
 
 void StartListening(evconnlistener* listener) {
-  constexpr int kBacklog = 512;
   listen(evconnlistener_get_fd(listener), kBacklog);
   evconnlistener_enable(listener);
 }
--- a/tests/daemon/worker_client_scenario.h
+++ b/tests/daemon/worker_client_scenario.h
@@ -17,6 +17,8 @@
 #include <variant>
 
 #include "http/worker_client.h"
+#include "net/endpoint.h"
+#include "net/event_ptr.h"
 #include "net/listener.h"
 
 namespace aldersill::tests {
