--- a/src/faktory/session.h
+++ b/src/faktory/session.h
@@ -10,7 +10,9 @@
 #include "core/types.h"
 #include "faktory/codec.h"
 #include "faktory/resp.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/steady_clock.h"
+#include "net/timer.h"
 
 namespace aldersill::faktory {
 
--- a/src/faktory/worker_registry.h
+++ b/src/faktory/worker_registry.h
@@ -14,7 +14,8 @@
 #include "core/types.h"
 #include "faktory/codec.h"
 #include "faktory/session.h"
-#include "net/event_loop.h"
+#include "net/event_ptr.h"
+#include "net/timer.h"
 
 namespace aldersill::faktory {
 
--- a/tests/daemon/watch_scheduler_test.cpp
+++ b/tests/daemon/watch_scheduler_test.cpp
@@ -179,7 +179,7 @@
       CHECK(run.latest_use <= kDrainGrace);
       latest_use = std::max(latest_use, run.latest_use);
     }
-    MESSAGE((kind == Kind::kPushed ? "agent" : "polled")
+    MESSAGE(std::string(kind == Kind::kPushed ? "agent" : "polled")
             << ": at the latest " << latest_use / kMillisecond << " ms after a change counted as notified");
   }
 }
