--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -26,7 +26,7 @@
   std::string name;               // of this member
   Micros interval = 5 * kSecond;  // of each worker's probes
   Micros timeout = kSecond;       // a probe that takes longer has failed
-  int most_out = 32;         // probes at the same time, from this member
+  int most_out = 32;              // probes at the same time, from this member
   bool operator==(const ProbeSettings&) const = default;
 };
 
--- a/tests/cluster/duties_test.cpp
+++ b/tests/cluster/duties_test.cpp
@@ -69,8 +69,7 @@
 
 class Bench {
  public:
-  explicit Bench(int most_out = 32)
-      : core_(ProbeSettings{"a", 2 * kSecond, kSecond, most_out}, 5) {}
+  explicit Bench(int most_out = 32) : core_(ProbeSettings{"a", 2 * kSecond, kSecond, most_out}, 5) {}
   std::vector<ProbeEffect> Tell(ProbeEvent event) {
     std::vector<ProbeEffect> effects;
     core_.Handle(now_, std::move(event), &effects);
