--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -16,7 +16,8 @@
 void Cluster::Handle(Micros now, Event event, std::vector<Effect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
-  std::visit([this](auto&& alternative) { Apply(std::move(alternative)); }, std::move(event));
+  std::visit([this](auto&& alternative) { Apply(std::forward<decltype(alternative)>(alternative)); },
+             std::move(event));
 }
 
 Micros Cluster::next_due() const {
@@ -80,7 +81,8 @@
   std::vector<membership::Effect> effects;
   membership_.Handle(now_, std::move(event), &effects);
   for (membership::Effect& effect : effects) {
-    std::visit([this](auto&& alternative) { Perform(std::move(alternative)); }, std::move(effect));
+    std::visit([this](auto&& alternative) { Perform(std::forward<decltype(alternative)>(alternative)); },
+               std::move(effect));
   }
 }
 
@@ -90,7 +92,8 @@
   std::vector<duties::ProbeEffect> effects;
   probing_->Handle(now_, std::move(event), &effects);
   for (duties::ProbeEffect& effect : effects) {
-    std::visit([this](auto&& alternative) { Perform(std::move(alternative)); }, std::move(effect));
+    std::visit([this](auto&& alternative) { Perform(std::forward<decltype(alternative)>(alternative)); },
+               std::move(effect));
   }
 }
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -25,7 +25,7 @@
   // Then the lease, before the event: its timer may be late, and no attempt may start meanwhile.
   if (endpoints_.ExpireIfDue())
     attempts_.EndUnsentToDiscoveredWorkers();
-  std::visit([this](auto&& arrived) { Apply(std::move(arrived)); }, std::move(event));
+  std::visit([this](auto&& arrived) { Apply(std::forward<decltype(arrived)>(arrived)); }, std::move(event));
   RunDispatchers();
   dispatchers_.RemoveUnused();
   UpdateGauges();
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -21,7 +21,8 @@
 void ProbeSharing::Handle(Micros now, ProbeEvent event, std::vector<ProbeEffect>* effects) {
   now_ = std::max(now_, now);
   effects_ = effects;
-  std::visit([this](auto&& alternative) { Apply(std::move(alternative)); }, std::move(event));
+  std::visit([this](auto&& alternative) { Apply(std::forward<decltype(alternative)>(alternative)); },
+             std::move(event));
   StartDueProbes();
 }
 
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -31,7 +31,7 @@
   enum class Class { kLingering, kSilent, kIdle, kStalled, kNotEvictable };
   Class eviction_class = Class::kNotEvictable;
   Micros since = 0;
-  auto operator<=>(const EvictionPriority&) const = default;  // NOLINT(modernize-use-nullptr): not in C++20
+  auto operator<=>(const EvictionPriority&) const = default;
 };
 
 class ClientConnection {
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -32,7 +32,7 @@
   bool shared_endpoint = false;          // with other processes of this dispatcher
 };
 
-class HttpFrontend : private ClientConnection::Owner, private ConnectionAcceptor::Owner {
+class HttpFrontend final : private ClientConnection::Owner, private ConnectionAcceptor::Owner {
  public:
   // Binds its endpoint and accepts nobody before StartListening. `ready`: the answer to GET /-/ready. `sink`
   // must outlive this object. Throws std::runtime_error if the endpoint cannot be bound.
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -18,7 +18,7 @@
 
 namespace aldersill {
 
-class WorkerClient : private WorkerConnection::Owner {
+class WorkerClient final : private WorkerConnection::Owner {
  public:
   // `base` and `sink` must outlive this object.
   WorkerClient(event_base* base, Micros dial_timeout, int max_connections, EventSink* sink);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -25,7 +25,8 @@
 void Membership::Handle(Micros now, Event event, std::vector<Effect>* effects) {
   state_.now = std::max(state_.now, now);
   state_.effects = effects;
-  std::visit([this](auto&& alternative) { Apply(std::move(alternative)); }, std::move(event));
+  std::visit([this](auto&& alternative) { Apply(std::forward<decltype(alternative)>(alternative)); },
+             std::move(event));
 }
 
 Micros Membership::next_due() const {
--- a/tools/virtual_budgets/budget_table.cpp
+++ b/tools/virtual_budgets/budget_table.cpp
@@ -35,6 +35,7 @@
     level = sorted.back();
   }
   std::vector<double> shares;
+  shares.reserve(demands.size());
   for (const double demand : demands)
     shares.push_back(std::min(demand, level));
   return shares;
@@ -50,7 +51,7 @@
 class Trial {
  public:
   Trial(const Choices& c, int n, int more = 0) : n_(n), world(Options(c, n + more)) {
-    demands.assign(static_cast<std::size_t>(n + more), 0.0);
+    demands.assign(static_cast<std::size_t>(n) + static_cast<std::size_t>(more), 0.0);
     served.assign(demands.size(), 0.0), owed_ = served;
     for (int i = 0; i < n; ++i)
       world.At(static_cast<Micros>(world.random()(1'000'000)), [this, i] { world.Begin(i); });
@@ -107,8 +108,8 @@
     o.drift = 0.01, o.clocks_apart = 200 * kMillisecond;
     o.lease = c.lease, o.count_bytes = true;
     o.settings.grant = c.grant, o.settings.instances = c.stated;
-    o.settings.budgets = {
-        {"mail", budgets::Kind::kRate, static_cast<budgets::Units>(kWhole * 1e6), 2 * c.stated, 0, 0, 0.02}};
+    o.settings.budgets = {{"mail", budgets::Kind::kRate, static_cast<budgets::Units>(kWhole * 1e6),
+                           std::int64_t{2} * c.stated, 0, 0, 0.02}};
     return o;
   }
   const int n_;
@@ -121,100 +122,144 @@
 
 constexpr Micros kWarm = 30 * kSecond;
 
-void Row(const Choices& c, int n) {
-  std::printf("| %d |", n);
-  {
-    Trial even(c, n);
-    even.Even(2.0);
-    const double start = even.Until([&] { return even.AllAllowed() >= 0.95 * kWhole; });
-    even.Run(kWarm);
-    even.world.packets = even.world.bytes = 0;
-    even.world.grantor_seconds = 0, even.world.grantor_asks = 0;
-    const double used = even.Used(20 * kSecond);
-    std::printf(" %.3f, %.4f |", used, Jain(even.served));
-    const double busy = even.world.grantor_seconds / 20,
-                 asks = static_cast<double>(even.world.grantor_asks) / 20;
-    const double bytes = static_cast<double>(even.world.bytes) / 20;
-    Trial zipf(c, n);
-    double harmonic = 0;
-    for (int k = 1; k <= n; ++k)
-      harmonic += 1.0 / k;
-    for (int k = 1; k <= n; ++k)
-      zipf.demands[k - 1] = 1.5 * kWhole / k / harmonic;
-    zipf.Run(kWarm);
-    const double zipf_used = zipf.Used(20 * kSecond);
-    const std::vector<double> best = SeesEverything(zipf.demands);
-    std::vector<double> part;
-    double fixed = 0, all = 0;
-    for (int i = 0; i < n; ++i) {
-      part.push_back(zipf.served[i] / (20 * best[i]));
-      fixed += std::min(zipf.demands[i], kWhole / n), all += best[i];
-    }
-    std::printf(" %.3f, %.4f | %.3f | %.3f |", zipf_used, Jain(part), fixed / kWhole, all / kWhole);
-    Trial one(c, n);
-    one.demands[static_cast<std::size_t>(n / 2)] = 2 * kWhole;
-    one.Run(kWarm);
-    std::printf(" %.3f, %.3f |", one.Used(20 * kSecond), 1.0 / n);
-    Trial churn(c, n);
-    churn.Even(3.0);
-    churn.Run(kWarm);
-    // Of three in ten each is away for 5 s of 30 s: every other one gives back first, the rest just die.
-    for (int i = 0; i < n; ++i) {
-      if (i % 10 != 1 && i % 10 != 4 && i % 10 != 7)
-        continue;
-      for (Micros at = churn.world.now() + churn.world.random()(30'000'000); at < 100 * kSecond;
-           at += 30 * kSecond) {
-        churn.world.At(at, [&, i] {
-          if (i % 10 == 4)
-            churn.world.ReleaseQuota(i);
-        });
-        churn.world.At(at + 50 * kMillisecond, [&, i] { churn.world.Kill(i); });
-        churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Begin(i); });
-      }
-    }
-    std::printf(" %.3f |", churn.Used(60 * kSecond));
-    std::printf(" %.1f |", start);
-    Trial join(c, n, 1);
-    join.Even(2.0);
-    join.Run(kWarm);
-    join.world.Begin(n);
-    std::printf(" %.1f |", join.Until([&] { return join.Allowed(n) >= 0.9 * kWhole / (n + 1); }));
-    for (const bool gives_back : {true, false}) {
-      Trial go(c, n);
-      go.Even(3.0);
-      go.Run(kWarm);
-      const int holder = go.world.Holder().value_or(0);
-      const int gone = std::max(1, n / 3);
-      for (int i = n - 1, left = gone; i >= 0 && left > 0; --i) {
-        if (i == holder)
-          continue;
-        --left;
-        if (gives_back)
-          go.world.ReleaseQuota(i);
-        go.world.At(go.world.now() + 50 * kMillisecond, [&, i] { go.world.Kill(i); });
-      }
-      go.Run(60 * kMillisecond);
-      std::printf(" %.1f |", 0.06 + go.Until([&] { return go.AllAllowed() >= 0.95 * kWhole; }));
+// What the run under even demand tells for later columns.
+struct SteadyCost {
+  double start = 0;           // seconds until 95 % of the whole were allowed
+  double requests = 0;        // a second
+  double bytes = 0;           // a second
+  double allocator_busy = 0;  // of a second
+};
+
+// Share used and evenness.
+SteadyCost PrintEvenDemand(const Choices& c, int n) {
+  Trial even(c, n);
+  even.Even(2.0);
+  SteadyCost cost;
+  cost.start = even.Until([&] { return even.AllAllowed() >= 0.95 * kWhole; });
+  even.Run(kWarm);
+  even.world.packets = even.world.bytes = 0;
+  even.world.grantor_seconds = 0, even.world.grantor_asks = 0;
+  const double used = even.Used(20 * kSecond);
+  std::printf(" %.3f, %.4f |", used, Jain(even.served));
+  cost.allocator_busy = even.world.grantor_seconds / 20;
+  cost.requests = static_cast<double>(even.world.grantor_asks) / 20;
+  cost.bytes = static_cast<double>(even.world.bytes) / 20;
+  return cost;
+}
+
+// Demand by Zipf's law, beside the best division and fixed shares.
+void PrintZipfDemand(const Choices& c, int n) {
+  Trial zipf(c, n);
+  double harmonic = 0;
+  for (int k = 1; k <= n; ++k)
+    harmonic += 1.0 / k;
+  for (int k = 1; k <= n; ++k)
+    zipf.demands[k - 1] = 1.5 * kWhole / k / harmonic;
+  zipf.Run(kWarm);
+  const double used = zipf.Used(20 * kSecond);
+  const std::vector<double> best = SeesEverything(zipf.demands);
+  std::vector<double> part;
+  double fixed = 0, all = 0;
+  for (int i = 0; i < n; ++i) {
+    part.push_back(zipf.served[i] / (20 * best[i]));
+    fixed += std::min(zipf.demands[i], kWhole / n), all += best[i];
+  }
+  std::printf(" %.3f, %.4f | %.3f | %.3f |", used, Jain(part), fixed / kWhole, all / kWhole);
+}
+
+void PrintSingleDemand(const Choices& c, int n) {
+  Trial one(c, n);
+  one.demands[static_cast<std::size_t>(n / 2)] = 2 * kWhole;
+  one.Run(kWarm);
+  std::printf(" %.3f, %.3f |", one.Used(20 * kSecond), 1.0 / n);
+}
+
+// Of three in ten members each is away for 5 s of 30 s: every other one releases its quota first, the rest
+// die.
+void PrintChurn(const Choices& c, int n) {
+  Trial churn(c, n);
+  churn.Even(3.0);
+  churn.Run(kWarm);
+  for (int i = 0; i < n; ++i) {
+    if (i % 10 != 1 && i % 10 != 4 && i % 10 != 7)
+      continue;
+    for (Micros at = churn.world.now() + churn.world.random()(30'000'000); at < 100 * kSecond;
+         at += 30 * kSecond) {
+      churn.world.At(at, [&, i] {
+        if (i % 10 == 4)
+          churn.world.ReleaseQuota(i);
+      });
+      churn.world.At(at + 50 * kMillisecond, [&, i] { churn.world.Kill(i); });
+      churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Begin(i); });
     }
-    Trial lost(c, n, 1);
-    lost.Even(2.0);
-    lost.Run(kWarm);
-    lost.world.Kill(lost.world.Holder().value_or(0));
-    lost.world.Begin(n);
-    double least = kWhole;
-    const double regained = lost.Until([&] {
-      least = std::min(least, lost.AllAllowed());
-      return lost.Allowed(n) >= 0.9 * kWhole / n;
-    });
-    std::printf(" %.1f, %.2f |", regained, least / kWhole);
-    Trial moves(c, n);
-    moves.demands[0] = 0.9 * kWhole;
-    moves.Run(kWarm);
-    std::swap(moves.demands[0], moves.demands[1]);
-    std::printf(" %.1f |", moves.Until([&] { return moves.Allowed(1) >= 0.85 * kWhole; }));
-    std::printf(" %.0f, %.1f, %.2f, %.2f |\n", asks, bytes / 1000, bytes / 1000 / n, 1000 * busy);
-    std::fflush(stdout);
   }
+  std::printf(" %.3f |", churn.Used(60 * kSecond));
+}
+
+void PrintJoin(const Choices& c, int n) {
+  Trial join(c, n, 1);
+  join.Even(2.0);
+  join.Run(kWarm);
+  join.world.Begin(n);
+  std::printf(" %.1f |", join.Until([&] { return join.Allowed(n) >= 0.9 * kWhole / (n + 1); }));
+}
+
+// A third of the members go, none of them the lease holder.
+void PrintDepartures(const Choices& c, int n, bool gives_back) {
+  Trial go(c, n);
+  go.Even(3.0);
+  go.Run(kWarm);
+  const int holder = go.world.Holder().value_or(0);
+  const int gone = std::max(1, n / 3);
+  for (int i = n - 1, left = gone; i >= 0 && left > 0; --i) {
+    if (i == holder)
+      continue;
+    --left;
+    if (gives_back)
+      go.world.ReleaseQuota(i);
+    go.world.At(go.world.now() + 50 * kMillisecond, [&, i] { go.world.Kill(i); });
+  }
+  go.Run(60 * kMillisecond);
+  std::printf(" %.1f |", 0.06 + go.Until([&] { return go.AllAllowed() >= 0.95 * kWhole; }));
+}
+
+void PrintLostHolder(const Choices& c, int n) {
+  Trial lost(c, n, 1);
+  lost.Even(2.0);
+  lost.Run(kWarm);
+  lost.world.Kill(lost.world.Holder().value_or(0));
+  lost.world.Begin(n);
+  double least = kWhole;
+  const double regained = lost.Until([&] {
+    least = std::min(least, lost.AllAllowed());
+    return lost.Allowed(n) >= 0.9 * kWhole / n;
+  });
+  std::printf(" %.1f, %.2f |", regained, least / kWhole);
+}
+
+void PrintMovedDemand(const Choices& c, int n) {
+  Trial moves(c, n);
+  moves.demands[0] = 0.9 * kWhole;
+  moves.Run(kWarm);
+  std::swap(moves.demands[0], moves.demands[1]);
+  std::printf(" %.1f |", moves.Until([&] { return moves.Allowed(1) >= 0.85 * kWhole; }));
+}
+
+void Row(const Choices& c, int n) {
+  std::printf("| %d |", n);
+  const SteadyCost cost = PrintEvenDemand(c, n);
+  PrintZipfDemand(c, n);
+  PrintSingleDemand(c, n);
+  PrintChurn(c, n);
+  std::printf(" %.1f |", cost.start);
+  PrintJoin(c, n);
+  for (const bool gives_back : {true, false})
+    PrintDepartures(c, n, gives_back);
+  PrintLostHolder(c, n);
+  PrintMovedDemand(c, n);
+  std::printf(" %.0f, %.1f, %.2f, %.2f |\n", cost.requests, cost.bytes / 1000, cost.bytes / 1000 / n,
+              1000 * cost.allocator_busy);
+  std::fflush(stdout);
 }
 
 }  // namespace
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -263,7 +263,7 @@
     due = std::min(due, instance.lease->next_due());
   if (due == INT64_MAX)
     return;
-  const double local = static_cast<double>(due - kBegin - instance.ahead);
+  const auto local = static_cast<double>(due - kBegin - instance.ahead);
   const Micros at = std::max(now_ + 1, static_cast<Micros>(std::ceil(local / instance.rate)) + 1);
   if (instance.rings != 0 && instance.rings <= at && instance.rings > now_)
     return;  // rings before: set anew then
--- a/tools/virtual_budgets/virtual_budgets.h
+++ b/tools/virtual_budgets/virtual_budgets.h
@@ -158,7 +158,7 @@
   std::uint64_t next_number_ = 1;
   std::vector<Instance> instances_;
   std::set<std::pair<int, int>> cuts_;
-  std::priority_queue<Item, std::vector<Item>, std::greater<Item>> queue_;
+  std::priority_queue<Item, std::vector<Item>, std::greater<>> queue_;
 };
 
 }  // namespace aldersill::tools
--- a/tools/virtual_cluster/cluster_scale.cpp
+++ b/tools/virtual_cluster/cluster_scale.cpp
@@ -71,6 +71,7 @@
   void Steady(Row* row, bool bare) {
     const int n = cluster_->size();
     std::vector<VirtualCluster::Sent> before;
+    before.reserve(static_cast<std::size_t>(n));
     for (int i = 0; i < n; ++i)
       before.push_back(cluster_->sent(i));
     std::uint64_t probes = 0, suspects = 0, deaths = 0;
--- a/tools/virtual_cluster/virtual_cluster.h
+++ b/tools/virtual_cluster/virtual_cluster.h
@@ -134,7 +134,7 @@
   std::vector<Instance> instances_;
   std::map<std::string, int> by_address_;
   std::set<std::pair<int, int>> cuts_;
-  std::priority_queue<Item, std::vector<Item>, std::greater<Item>> queue_;
+  std::priority_queue<Item, std::vector<Item>, std::greater<>> queue_;
 };
 
 }  // namespace aldersill::tools
