--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -118,13 +118,13 @@
 }
 
 void Cluster::Perform(membership::MembershipChange&& e) {
-  using What = membership::MembershipChange::What;
+  using Kind = membership::MembershipChange::Kind;
   effects_->push_back(e);
-  switch (e.what) {
-    case What::kDead:
-    case What::kLeft:
+  switch (e.kind) {
+    case Kind::kDead:
+    case Kind::kLeft:
       return HandleInProbing(duties::MemberLeft{e.member.name});
-    case What::kSuspect:  // it may refute this, and keeps its duties until then
+    case Kind::kSuspect:  // it may refute this, and keeps its duties until then
       return;
     default:
       return HandleInProbing(duties::MemberJoined{e.member.name, e.member.weight});
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -66,7 +66,7 @@
 };
 struct LeaseChange {
   std::string duty;
-  bool taken = false;  // else lost
+  bool acquired = false;  // else lost
   std::uint64_t term = 0;
 };
 using Effect = std::variant<SendPacket, StartProbe, DeliverResult, membership::MembershipChange, LeaseChange>;
--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -13,9 +13,9 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 
-const char* Name(membership::MembershipChange::What what) {
+const char* Name(membership::MembershipChange::Kind kind) {
   constexpr const char* kNames[] = {"joined", "restarted", "suspect", "alive", "dead", "left"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 nlohmann::json MembersAsJson(const Cluster* core) {
@@ -27,7 +27,7 @@
                        {"address", member.address},
                        {"state", Name(member.state)},
                        {"epoch", member.incarnation.epoch},
-                       {"turn", member.incarnation.turn},
+                       {"turn", member.incarnation.number},
                        {"weight", member.weight},
                        {"self", name == core->members().settings().name}});
   }
@@ -49,7 +49,7 @@
                        {"slept_through", c.ended_while_paused}};
   }
   for (const auto& [duty, lease] : core->leases()) {
-    const auto term = lease.Holds(now);
+    const auto term = lease.HeldTerm(now);
     const auto holder = lease.KnownHolder(now);
     json["exclusive"].push_back({{"duty", duty},
                                  {"held", term.has_value()},
@@ -82,7 +82,7 @@
   std::uint32_t held = 0;
   std::uint64_t taken = 0, lost = 0;
   for (const auto& [duty, lease] : core.leases()) {
-    held += lease.Holds(now).has_value();
+    held += lease.HeldTerm(now).has_value();
     taken += lease.counters().acquired;
     lost += lease.counters().lost;
   }
--- a/src/cluster/objects.h
+++ b/src/cluster/objects.h
@@ -11,7 +11,7 @@
 namespace aldersill::cluster {
 
 const char* Name(membership::State state);
-const char* Name(membership::MembershipChange::What what);
+const char* Name(membership::MembershipChange::Kind kind);
 
 // `core`: null if membership is off; the answer is then {"enabled": false}.
 nlohmann::json MembersAsJson(const Cluster* core);
--- a/src/config/operator_schema.h
+++ b/src/config/operator_schema.h
@@ -118,7 +118,7 @@
   visitor.Milliseconds("timeout_ms", settings.timeout, 10, 600'000);
   visitor.Check(2 * settings.timeout <= settings.interval, "timeout_ms",
                 "must be at most half of interval_ms");
-  visitor.Int("most_out", settings.most_out, 1, 10'000);
+  visitor.Int("most_out", settings.max_in_flight, 1, 10'000);
 }
 
 template <typename Visitor>
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -169,16 +169,16 @@
     context_.sink->Post(ProbeCompleted{result.worker, result.outcome, result.elapsed, result.report});
   }
   void Perform(const membership::MembershipChange& change) {
-    using What = membership::MembershipChange::What;
-    const bool lost = change.what == What::kDead || change.what == What::kSuspect;
-    Log(lost ? LogLevel::kWarning : LogLevel::kInfo, std::string("member_") + cluster::Name(change.what),
+    using Kind = membership::MembershipChange::Kind;
+    const bool lost = change.kind == Kind::kDead || change.kind == Kind::kSuspect;
+    Log(lost ? LogLevel::kWarning : LogLevel::kInfo, std::string("member_") + cluster::Name(change.kind),
         {{"member", change.member.name},
          {"address", change.member.address},
          {"epoch", change.member.incarnation.epoch},
          {"by", change.member.accuser}});
   }
   void Perform(const cluster::LeaseChange& change) {
-    Log(LogLevel::kInfo, change.taken ? "duty_acquired" : "duty_lost",
+    Log(LogLevel::kInfo, change.acquired ? "duty_acquired" : "duty_lost",
         {{"duty", change.duty}, {"term", change.term}});
   }
 
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -35,7 +35,7 @@
   return std::min(lease_end, phase_ == Phase::kIdle ? next_round_ : round_ends_);
 }
 
-std::optional<std::uint64_t> Lease::Holds(Micros now) const {
+std::optional<std::uint64_t> Lease::HeldTerm(Micros now) const {
   return term_ && now < held_until_ ? term_ : std::nullopt;
 }
 
--- a/src/duties/lease.h
+++ b/src/duties/lease.h
@@ -79,7 +79,7 @@
 
   // The term under which this member may act now. To be asked before each act with the time of the act: a
   // member that was paused holds nothing until it has renewed its lease.
-  std::optional<std::uint64_t> Holds(Micros now) const;
+  std::optional<std::uint64_t> HeldTerm(Micros now) const;
   // The lease holder as far as this voter's acceptor knows.
   std::optional<Holder> KnownHolder(Micros now) const { return acceptor_.LeaseHolder(now); }
   const LeaseSettings& settings() const { return settings_; }
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -28,7 +28,7 @@
 
 Micros ProbeSharing::next_due() const {
   Micros due = kNever;
-  if (!schedule_.empty() && std::ssize(in_flight_) < settings_.most_out)
+  if (!schedule_.empty() && std::ssize(in_flight_) < settings_.max_in_flight)
     due = schedule_.begin()->first;
   // Numbers and overdue times grow together: the first probe is the first to be overdue.
   if (!in_flight_.empty())
@@ -114,7 +114,7 @@
 
 void ProbeSharing::StartDueProbes() {
   while (!schedule_.empty() && schedule_.begin()->first <= now_ &&
-         std::ssize(in_flight_) < settings_.most_out) {
+         std::ssize(in_flight_) < settings_.max_in_flight) {
     const auto [at, name] = *schedule_.begin();
     schedule_.erase(schedule_.begin());
     Worker& worker = workers_.at(name);
@@ -163,7 +163,7 @@
   if (known == workers_.end())
     return;
   if (TimeOf(event.result.stamp) > now_ + kMaxStampLead) {
-    ++counters_.results_from_future;
+    ++counters_.results_with_future_stamp;
     return;
   }
   last_stamp_ = std::max(last_stamp_, event.result.stamp);
--- a/src/duties/probe_sharing.h
+++ b/src/duties/probe_sharing.h
@@ -26,7 +26,7 @@
   std::string name;               // of this member
   Micros interval = 5 * kSecond;  // of each worker's probes
   Micros timeout = kSecond;       // a probe that takes longer has failed
-  int most_out = 32;              // probes at the same time, from this member
+  int max_in_flight = 32;         // probes at the same time, from this member
   bool operator==(const ProbeSettings&) const = default;
 };
 
@@ -76,9 +76,9 @@
   std::uint64_t takeovers = 0;         // workers whose owner left and that are this member's now
   std::uint64_t results_received = 0;  // other members' results that were new
   std::uint64_t duplicate_results = 0;
-  std::uint64_t outdated_results = 0;     // older than the known result
-  std::uint64_t results_from_future = 0;  // stamped by a clock too far ahead
-  std::uint64_t ended_while_paused = 0;   // ended while this process was paused: nobody knows when
+  std::uint64_t outdated_results = 0;           // older than the known result
+  std::uint64_t results_with_future_stamp = 0;  // stamped by a clock too far ahead
+  std::uint64_t ended_while_paused = 0;         // ended while this process was paused: nobody knows when
 };
 
 class ProbeSharing {
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -10,7 +10,7 @@
 void Pack(MessagePacker& out, const Update& update) {
   out.pack_array(7);
   out.pack(update.name), out.pack(update.address), out.pack(update.incarnation.epoch),
-      out.pack(update.incarnation.turn);
+      out.pack(update.incarnation.number);
   out.pack(static_cast<std::uint8_t>(update.state)), out.pack(update.weight), out.pack(update.accuser);
 }
 
@@ -61,7 +61,7 @@
   update.name = in.Name();
   update.address = in.Name();
   update.incarnation.epoch = in.Number53();
-  update.incarnation.turn = in.Take<std::uint32_t>();
+  update.incarnation.number = in.Take<std::uint32_t>();
   const auto state = in.Take<std::uint8_t>();
   if (state > static_cast<std::uint8_t>(State::kLeft))
     throw std::runtime_error("not a state");
--- a/src/membership/events.h
+++ b/src/membership/events.h
@@ -38,7 +38,7 @@
   Packet packet;
 };
 struct MembershipChange {
-  enum class What { kJoined, kRestarted, kSuspect, kAlive, kDead, kLeft } what = What::kJoined;
+  enum class Kind { kJoined, kRestarted, kSuspect, kAlive, kDead, kLeft } kind = Kind::kJoined;
   Update member;
 };
 struct GossipReceived {
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -41,7 +41,7 @@
     if (!IsLiving(update.state))
       continue;
     text += name + '\n' + std::to_string(update.incarnation.epoch) + '.' +
-            std::to_string(update.incarnation.turn) + '\n';
+            std::to_string(update.incarnation.number) + '\n';
   }
   return XXH3_64bits(text.data(), text.size());
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -47,7 +47,7 @@
 
 void Membership::Apply(const Started& started) {
   started_ = true;
-  state_.incarnation = {.epoch = started.epoch, .turn = 0};
+  state_.incarnation = {.epoch = started.epoch, .number = 0};
   detector_.Start();
   dissemination_.Start();
   anti_entropy_.Start();
@@ -188,7 +188,7 @@
   joined.state = State::kAlive;
   table_.Add(joined);
   peers_.Add(joined.name);
-  state_.Emit(MembershipChange{What::kJoined, joined});
+  state_.Emit(MembershipChange{Kind::kJoined, joined});
   dissemination_.EnqueueUpdate(joined);
   if (reported.state == State::kSuspect)
     RecordSuspicion(table_.Find(reported.name), reported);
@@ -201,7 +201,7 @@
   const bool restarted = reported.incarnation.epoch > known.incarnation.epoch;
   if (known.state == State::kDead && !restarted)
     ++state_.counters.deaths_refuted;
-  ChangeState(record, reported, restarted ? What::kRestarted : What::kAlive);
+  ChangeState(record, reported, restarted ? Kind::kRestarted : Kind::kAlive);
 }
 
 void Membership::ApplySuspect(MemberRecord* record, const Update& reported) {
@@ -211,7 +211,7 @@
     alive.state = State::kAlive;
     alive.accuser.clear();
     const bool restarted = reported.incarnation.epoch > known.epoch;
-    ChangeState(record, alive, restarted ? What::kRestarted : What::kAlive);
+    ChangeState(record, alive, restarted ? Kind::kRestarted : Kind::kAlive);
   }
   if (reported.incarnation == record->update.incarnation && IsLiving(record->update.state))
     RecordSuspicion(record, reported);
@@ -223,7 +223,7 @@
                           (reported.incarnation == known.incarnation && !IsLiving(known.state));
   if (superseded)
     return;
-  ChangeState(record, reported, reported.state == State::kDead ? What::kDead : What::kLeft);
+  ChangeState(record, reported, reported.state == State::kDead ? Kind::kDead : Kind::kLeft);
 }
 
 void Membership::HandleUpdateAboutSelf(const Update& reported) {
@@ -233,7 +233,7 @@
     ++state_.counters.name_conflicts;
   if (reported.incarnation.epoch > state_.incarnation.epoch) {
     // A former process whose clock was ahead, or another member under this name: this one must supersede it.
-    state_.incarnation = {.epoch = reported.incarnation.epoch + 1, .turn = 0};
+    state_.incarnation = {.epoch = reported.incarnation.epoch + 1, .number = 0};
     dissemination_.EnqueueUpdate(self());
   } else if (reported.incarnation < state_.incarnation) {
     dissemination_.EnqueueUpdate(self());
@@ -244,7 +244,7 @@
 
 void Membership::Refute(const Incarnation& reported) {
 #ifndef ALDERSILL_PLANT_NO_REFUTATION  // a deliberate defect that cluster_search must find
-  state_.incarnation.turn = std::max(state_.incarnation.turn, reported.turn) + 1;
+  state_.incarnation.number = std::max(state_.incarnation.number, reported.number) + 1;
   ++state_.counters.refutations;
   state_.health.Worsen(1);
   dissemination_.EnqueueUpdate(self());
@@ -260,7 +260,7 @@
   if (record->update.state == State::kAlive) {
     ++state_.counters.suspicions;
     suspect.state = State::kSuspect;
-    ChangeState(record, suspect, What::kSuspect);
+    ChangeState(record, suspect, Kind::kSuspect);
     suspicions_.Begin(name);
   } else if (suspicions_.IsConfirmation(name, accusation.accuser)) {
     // Lifeguard: confirmations are disseminated as well, as they shorten the other members' timeouts.
@@ -271,10 +271,10 @@
   suspicions_.AddAccuser(name, accusation.accuser, table_.living());
 }
 
-void Membership::ChangeState(MemberRecord* record, const Update& update, What what) {
+void Membership::ChangeState(MemberRecord* record, const Update& update, Kind kind) {
   suspicions_.End(record->update.name);
   table_.Replace(record, update);
-  state_.Emit(MembershipChange{what, update});
+  state_.Emit(MembershipChange{kind, update});
   dissemination_.EnqueueUpdate(update);
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -43,7 +43,7 @@
   std::size_t living() const { return table_.living(); }  // alive or suspect, this member included
 
  private:
-  using What = MembershipChange::What;
+  using Kind = MembershipChange::Kind;
 
   void Apply(const Started& started);
   void Apply(PacketReceived&& received);
@@ -72,7 +72,7 @@
   void HandleUpdateAboutSelf(const Update& reported);
   void Refute(const Incarnation& reported);
   void RecordSuspicion(MemberRecord* record, const Update& accusation);
-  void ChangeState(MemberRecord* record, const Update& update, What what);
+  void ChangeState(MemberRecord* record, const Update& update, Kind kind);
   void DeclareDead(const std::string& name);
 
   // This process was not scheduled for `gap`: the other members are not to blame for what is overdue.
--- a/src/membership/sealer.cpp
+++ b/src/membership/sealer.cpp
@@ -77,7 +77,7 @@
   if (datagram.size() > kMaxDatagram)
     return Drop(DropReason::kTooLong);
   if (static_cast<unsigned char>(datagram[0]) != kFormat)
-    return Drop(DropReason::kFormat);
+    return Drop(DropReason::kUnknownFormat);
   std::optional<std::string> packet = Decrypt(datagram);
   if (!packet)
     return std::nullopt;
@@ -109,7 +109,7 @@
     if (result == 0)
       return packet;
   }
-  return Drop(known_key ? DropReason::kForged : DropReason::kKey);
+  return Drop(known_key ? DropReason::kForged : DropReason::kUnknownKey);
 }
 
 std::optional<std::string> Sealer::Drop(DropReason reason) {
--- a/src/membership/sealer.h
+++ b/src/membership/sealer.h
@@ -26,8 +26,8 @@
 enum class DropReason {
   kTruncated,  // too short for the head and the tag
   kTooLong,
-  kFormat,           // an unknown format
-  kKey,              // sealed under no key in force
+  kUnknownFormat,    // an unknown format
+  kUnknownKey,       // sealed under no key in force
   kForged,           // the tag does not match: forged or damaged
   kStale,            // sealed outside kClockWindow
   kReplayed,         // seen before: replayed, or duplicated by the network
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -15,8 +15,8 @@
 // SWIM's incarnation number, extended by the time of the process's start so that a restarted member
 // supersedes its former process. The greater one wins.
 struct Incarnation {
-  std::uint64_t epoch = 0;  // start of the process, Unix milliseconds
-  std::uint32_t turn = 0;   // raised by each refutation of that process
+  std::uint64_t epoch = 0;   // start of the process, Unix milliseconds
+  std::uint32_t number = 0;  // raised by each refutation of that process
   auto operator<=>(const Incarnation&) const = default;
 };
 
--- a/tests/cluster/cluster_scenario.cpp
+++ b/tests/cluster/cluster_scenario.cpp
@@ -106,19 +106,19 @@
   };
   cluster_->on_news = [this](int member, const membership::MembershipChange& change) {
     constexpr const char* kWhat[] = {" joined", " restarted", " suspect", " alive", " dead", " left"};
-    Say(cluster_->name(member) + ": " + change.member.name + kWhat[static_cast<int>(change.what)]);
+    Say(cluster_->name(member) + ": " + change.member.name + kWhat[static_cast<int>(change.kind)]);
   };
 }
 
 void ClusterScenario::CheckLeaseChange(int member, const cluster::LeaseChange& change) {
-  Say(cluster_->name(member) + (change.taken ? " takes " : " loses ") + change.duty + " under " +
+  Say(cluster_->name(member) + (change.acquired ? " takes " : " loses ") + change.duty + " under " +
       std::to_string(change.term));
-  if (!change.taken)
+  if (!change.acquired)
     return;
   ++verdict_.leases;
   for (int other = 0; other < members_; ++other) {
     if (other != member && cluster_->Runs(other) &&
-        cluster_->core(other).leases().at(change.duty).Holds(cluster_->LocalTime(other)))
+        cluster_->core(other).leases().at(change.duty).HeldTerm(cluster_->LocalTime(other)))
       Break(cluster_->name(member) + " and " + cluster_->name(other) + " both hold " + change.duty);
   }
   if (change.term <= last_term_)
@@ -334,7 +334,7 @@
       continue;
     voters +=
         static_cast<int>(std::count(settings_.voters.begin(), settings_.voters.end(), cluster_->name(i)));
-    holders += cluster_->core(i).leases().at(kDuty).Holds(cluster_->LocalTime(i)).has_value() ? 1 : 0;
+    holders += cluster_->core(i).leases().at(kDuty).HeldTerm(cluster_->LocalTime(i)).has_value() ? 1 : 0;
   }
   const bool majority = 2 * voters > static_cast<int>(settings_.voters.size());
   if (holders != (majority ? 1 : 0))
--- a/tests/cluster/digests.cpp
+++ b/tests/cluster/digests.cpp
@@ -24,18 +24,18 @@
 }
 void Add(RunDigest& digest, const membership::MembershipChange& change) {
   const membership::Update& member = change.member;
-  digest.Add(static_cast<int>(change.what));
+  digest.Add(static_cast<int>(change.kind));
   digest.Add(member.name);
   digest.Add(member.address);
   digest.Add(member.incarnation.epoch);
-  digest.Add(member.incarnation.turn);
+  digest.Add(member.incarnation.number);
   digest.Add(static_cast<int>(member.state));
   digest.Add(member.weight);
   digest.Add(member.accuser);
 }
 void Add(RunDigest& digest, const cluster::LeaseChange& change) {
   digest.Add(change.duty);
-  digest.Add(change.taken);
+  digest.Add(change.acquired);
   digest.Add(change.term);
 }
 
--- a/tests/cluster/duties_test.cpp
+++ b/tests/cluster/duties_test.cpp
@@ -69,7 +69,8 @@
 
 class Bench {
  public:
-  explicit Bench(int most_out = 32) : core_(ProbeSettings{"a", 2 * kSecond, kSecond, most_out}, 5) {}
+  explicit Bench(int max_in_flight = 32)
+      : core_(ProbeSettings{"a", 2 * kSecond, kSecond, max_in_flight}, 5) {}
   std::vector<ProbeEffect> Tell(ProbeEvent event) {
     std::vector<ProbeEffect> effects;
     core_.Handle(now_, std::move(event), &effects);
@@ -147,7 +148,7 @@
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart + kSecond, "c")})) ==
         1);  // from a clock a little ahead
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{Heard(kStart + 31 * kSecond, "c")})) == 0);
-  CHECK(b.core_.counters().results_from_future == 1);
+  CHECK(b.core_.counters().results_with_future_stamp == 1);
   CHECK(Bench::Told(b.Tell(ProbeResultReceived{{"unknown", 1, "c", Outcome::kServed, 0, {}}})) == 0);
   // What is made here after that goes above what was heard, though this clock is behind.
   b.Tell(MemberJoined{"a", 100});
@@ -252,7 +253,7 @@
   std::set<std::string> Holders() const {
     std::set<std::string> holders;
     for (const auto& [name, lease] : leases_) {
-      if (lease.Holds(now_))
+      if (lease.HeldTerm(now_))
         holders.insert(name);
     }
     return holders;
@@ -270,10 +271,10 @@
   v.Wait(10 * kSecond);
   REQUIRE(v.Holders().size() == 1);
   const std::string first = *v.Holders().begin();
-  const std::uint64_t term = *v.leases_.at(first).Holds(v.now_);
+  const std::uint64_t term = *v.leases_.at(first).HeldTerm(v.now_);
   v.Wait(60 * kSecond);
   CHECK(v.Holders() == std::set<std::string>{first});
-  CHECK(v.leases_.at(first).Holds(v.now_) == term);
+  CHECK(v.leases_.at(first).HeldTerm(v.now_) == term);
   CHECK(v.leases_.at(first).counters().renewed >= 15);
   v.down_.insert(first);
   const Micros went = v.now_;
@@ -282,7 +283,7 @@
   // Not before the old lease has ended, and soon after.
   CHECK(v.now_ - went <= 12 * kSecond);
   const std::string second = *v.Holders().begin();
-  CHECK(*v.leases_.at(second).Holds(v.now_) > term);
+  CHECK(*v.leases_.at(second).HeldTerm(v.now_) > term);
   // Given up, it passes on without a wait.
   v.down_.clear();
   v.Wait(5 * kSecond);
@@ -340,7 +341,7 @@
   const std::string next = *v.Holders().begin();
   v.down_.insert(next);
   v.now_ += 15 * kSecond;
-  CHECK(!v.leases_.at(next).Holds(v.now_));
+  CHECK(!v.leases_.at(next).HeldTerm(v.now_));
 }
 
 }  // namespace
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -63,10 +63,10 @@
     }
     return sent;
   }
-  static int News(const std::vector<Effect>& effects, MembershipChange::What what, const std::string& name) {
+  static int News(const std::vector<Effect>& effects, MembershipChange::Kind kind, const std::string& name) {
     return static_cast<int>(std::count_if(effects.begin(), effects.end(), [&](const Effect& effect) {
       const auto* news = std::get_if<MembershipChange>(&effect);
-      return news != nullptr && news->what == what && news->member.name == name;
+      return news != nullptr && news->kind == kind && news->member.name == name;
     }));
   }
   Membership core_;
@@ -81,7 +81,7 @@
   }
 };
 
-using What = MembershipChange::What;
+using Kind = MembershipChange::Kind;
 
 TEST_CASE("a probe without an answer asks others, then accuses; the accused has its time, then is dead") {
   Bench b;
@@ -102,14 +102,14 @@
   }
   // None of those asked has a word either: then this instance doubts itself, and takes more time.
   all = b.Wait(600 * kMillisecond);
-  CHECK(Bench::News(all, What::kSuspect, target) == 1);
+  CHECK(Bench::News(all, Kind::kSuspect, target) == 1);
   CHECK(b.core_.health() == 3);
   CHECK(b.core_.counters().probes_failed == 1);
   // Alone with its accusation it waits for the longest.
   all = b.Wait(23 * kSecond);
-  CHECK(Bench::News(all, What::kDead, target) == 0);
+  CHECK(Bench::News(all, Kind::kDead, target) == 0);
   all = b.Wait(3 * kSecond);
-  CHECK(Bench::News(all, What::kDead, target) == 1);
+  CHECK(Bench::News(all, Kind::kDead, target) == 1);
 }
 
 TEST_CASE("an answer through another counts, and those asked who say nack leave our health alone") {
@@ -128,7 +128,7 @@
     b.Hear(to.substr(0, 1), {}, NegativeAck{number});
   b.Hear(asked.front().first.substr(0, 1), {}, Ack{number});
   const auto all = b.Wait(500 * kMillisecond);
-  CHECK(Bench::News(all, What::kSuspect, target) == 0);
+  CHECK(Bench::News(all, Kind::kSuspect, target) == 0);
   CHECK(b.core_.health() == 0);
 }
 
@@ -142,8 +142,8 @@
   b.Hear("d", {Bench::Say(State::kSuspect, "b", "d")});
   b.Hear("e", {Bench::Say(State::kSuspect, "b", "e")});
   // Two besides the first: down to the least, four probe intervals.
-  CHECK(Bench::News(b.Wait(3'900 * kMillisecond), What::kDead, "b") == 0);
-  CHECK(Bench::News(b.Wait(200 * kMillisecond), What::kDead, "b") == 1);
+  CHECK(Bench::News(b.Wait(3'900 * kMillisecond), Kind::kDead, "b") == 0);
+  CHECK(Bench::News(b.Wait(200 * kMillisecond), Kind::kDead, "b") == 1);
 }
 
 TEST_CASE("whoever hears itself accused speaks up above it, and is believed by those who hear it") {
@@ -171,7 +171,7 @@
   Bench b;
   b.Meet({"b"});
   b.Hear("c", {Bench::Alive("b", 0, kEpoch + 5)});
-  CHECK(Bench::News(b.effects_, What::kRestarted, "b") == 1);
+  CHECK(Bench::News(b.effects_, Kind::kRestarted, "b") == 1);
   b.Hear("c", {Bench::Say(State::kDead, "b", "c", 9, kEpoch)});
   CHECK(b.core_.StateOf("b") == State::kAlive);
   // Asked for an earlier life of our own: no ack, but word of this one.
@@ -335,8 +335,8 @@
     CHECK(!receiver.Open(kStart, garbled));
   }
   CHECK(Count(receiver, DropReason::kForged) > 0);
-  CHECK(Count(receiver, DropReason::kFormat) == 8);
-  CHECK(Count(receiver, DropReason::kKey) > 0);
+  CHECK(Count(receiver, DropReason::kUnknownFormat) == 8);
+  CHECK(Count(receiver, DropReason::kUnknownKey) > 0);
   for (std::size_t size = 0; size < next.size(); ++size)
     CHECK(!receiver.Open(kStart, next.substr(0, size)));
   CHECK(Count(receiver, DropReason::kTruncated) == kSealOverhead + 1);
--- a/tools/virtual_budgets/virtual_budgets.cpp
+++ b/tools/virtual_budgets/virtual_budgets.cpp
@@ -149,7 +149,7 @@
     instance.quota_client->Free(LocalTime(i), o_.settings.budgets[freed->budget].name, freed->count);
     SetTimer(i);
   } else {
-    const auto term = instance.lease ? instance.lease->Holds(LocalTime(i)) : std::nullopt;
+    const auto term = instance.lease ? instance.lease->HeldTerm(LocalTime(i)) : std::nullopt;
     if (term)
       BroadcastResult(i, *term);
     Push(now_ + kAnnounceEach, i, Announce{});
@@ -163,7 +163,7 @@
   } else if (const auto* ask = std::get_if<budgets::QuotaRequest>(&arrives.message)) {
     const auto& own = instances_[i].lease;
     ToQuotaAllocator(i, budgets::QuotaRequestReceived{name(arrives.from), *ask,
-                                                      own ? own->Holds(LocalTime(i)) : std::nullopt});
+                                                      own ? own->HeldTerm(LocalTime(i)) : std::nullopt});
   } else if (const auto* answer = std::get_if<budgets::QuotaGrant>(&arrives.message)) {
     ToQuotaClient(i, budgets::QuotaGrantReceived{name(arrives.from), *answer});
     if (on_answer)
@@ -274,7 +274,7 @@
 std::optional<int> VirtualBudgets::Holder() const {
   for (int i = 0; i < size(); ++i) {
     const auto& lease = instances_[i].lease;
-    if (lease && !instances_[i].paused && lease->Holds(LocalTime(i)))
+    if (lease && !instances_[i].paused && lease->HeldTerm(LocalTime(i)))
       return i;
   }
   return std::nullopt;
--- a/tools/virtual_cluster/cluster_scale.cpp
+++ b/tools/virtual_cluster/cluster_scale.cpp
@@ -77,8 +77,8 @@
     std::uint64_t probes = 0, suspects = 0, deaths = 0;
     cluster_->on_probe = [&](int, const std::string&) { ++probes; };
     cluster_->on_news = [&](int, const membership::MembershipChange& news) {
-      suspects += news.what == membership::MembershipChange::What::kSuspect;
-      deaths += news.what == membership::MembershipChange::What::kDead;
+      suspects += news.kind == membership::MembershipChange::Kind::kSuspect;
+      deaths += news.kind == membership::MembershipChange::Kind::kDead;
     };
     cluster_->RunUntil(cluster_->now() + plan_.window_s * kSecond);
     cluster_->on_probe = nullptr;
@@ -117,7 +117,7 @@
       const Micros died = cluster_->now();
       std::set<int> knows;
       cluster_->on_news = [&](int i, const membership::MembershipChange& news) {
-        if (news.member.name != name || news.what != membership::MembershipChange::What::kDead)
+        if (news.member.name != name || news.kind != membership::MembershipChange::Kind::kDead)
           return;
         if (knows.insert(i).second)
           detections.push_back(static_cast<double>(cluster_->now() - died) / kSecond);
