--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -31,29 +31,30 @@
 
 // ---- Events ----
 
-void Cluster::Apply(Started&& e) {
+void Cluster::Apply(Started&& event) {
   for (std::size_t i = 0; i < settings_.exclusive.size(); ++i) {
     const std::string& duty = settings_.exclusive[i];
     duties::LeaseSettings lease{.duty = duty,
                                 .name = settings_.membership.name,
-                                .epoch = e.epoch,
+                                .epoch = event.epoch,
                                 .voters = settings_.voters,
                                 .timespan = settings_.lease,
                                 .max_clock_drift = settings_.max_clock_drift};
     leases_.emplace(duty, duties::Lease(std::move(lease), seed_ + 2 + i));
   }
-  HandleInMembership(membership::Started{e.epoch});
+  HandleInMembership(membership::Started{event.epoch});
   HandleInProbing(duties::MemberJoined{settings_.membership.name, settings_.membership.weight});
   for (auto& [duty, lease] : leases_)
     HandleInLease(&lease, duties::LeaseStarted{});
 }
 
-void Cluster::Apply(PacketReceived&& e) {
-  HandleInMembership(membership::PacketReceived{std::move(e.address), std::move(e.packet)});
+void Cluster::Apply(PacketReceived&& event) {
+  HandleInMembership(membership::PacketReceived{std::move(event.address), std::move(event.packet)});
 }
 
 void Cluster::Apply(TimerExpired&&) {
-  // Leases first: one that expired while this process was paused must end before anything else happens.
+  // The leases come first, so that a lease that expired while this process was paused ends before anything
+  // else happens.
   for (auto& [duty, lease] : leases_)
     HandleInLease(&lease, duties::LeaseTimerExpired{});
   if (membership_.next_due() <= now_)
@@ -62,10 +63,12 @@
     HandleInProbing(duties::ProbeTimerExpired{});
 }
 
-void Cluster::Apply(WorkersChanged&& e) { HandleInProbing(duties::WorkersChanged{std::move(e.workers)}); }
+void Cluster::Apply(WorkersChanged&& event) {
+  HandleInProbing(duties::WorkersChanged{std::move(event.workers)});
+}
 
-void Cluster::Apply(ProbeCompleted&& e) {
-  HandleInProbing(duties::ProbeEnded{e.number, e.outcome, e.elapsed, e.report});
+void Cluster::Apply(ProbeCompleted&& event) {
+  HandleInProbing(duties::ProbeEnded{event.number, event.outcome, event.elapsed, event.report});
 }
 
 void Cluster::Apply(LeaveRequested&&) {
@@ -75,7 +78,7 @@
   HandleInProbing(duties::MemberLeft{settings_.membership.name});
 }
 
-// ---- The parts and their effects ----
+// ---- The components and their effects ----
 
 void Cluster::HandleInMembership(membership::Event event) {
   std::vector<membership::Effect> effects;
@@ -105,36 +108,36 @@
     if (auto* send = std::get_if<duties::SendLeaseMessage>(&effect)) {
       HandleInMembership(membership::DirectMessageRequested{
           send->to, duties::EncodeMessage(duties::DutyMessage{duty, std::move(send->message)})});
-    } else if (const auto* taken = std::get_if<duties::LeaseAcquired>(&effect)) {
-      effects_->push_back(LeaseChange{duty, true, taken->term});
+    } else if (const auto* acquired = std::get_if<duties::LeaseAcquired>(&effect)) {
+      effects_->push_back(LeaseChange{duty, true, acquired->term});
     } else {
       effects_->push_back(LeaseChange{duty, false, std::get<duties::LeaseLost>(effect).term});
     }
   }
 }
 
-void Cluster::Perform(membership::SendPacket&& e) {
-  effects_->push_back(SendPacket{std::move(e.address), std::move(e.packet)});
+void Cluster::Perform(membership::SendPacket&& effect) {
+  effects_->push_back(SendPacket{std::move(effect.address), std::move(effect.packet)});
 }
 
-void Cluster::Perform(membership::MembershipChange&& e) {
+void Cluster::Perform(membership::MembershipChange&& effect) {
   using Kind = membership::MembershipChange::Kind;
-  effects_->push_back(e);
-  switch (e.kind) {
+  effects_->push_back(effect);
+  switch (effect.kind) {
     case Kind::kDead:
     case Kind::kLeft:
-      return HandleInProbing(duties::MemberLeft{e.member.name});
-    case Kind::kSuspect:  // it may refute this, and keeps its duties until then
+      return HandleInProbing(duties::MemberLeft{effect.member.name});
+    case Kind::kSuspect:  // a suspect keeps its duties, as it may refute the suspicion
       return;
     default:
-      return HandleInProbing(duties::MemberJoined{e.member.name, e.member.weight});
+      return HandleInProbing(duties::MemberJoined{effect.member.name, effect.member.weight});
   }
 }
 
-void Cluster::Perform(membership::GossipReceived&& e) {
+void Cluster::Perform(membership::GossipReceived&& effect) {
   if (!probing_)
     return;
-  auto result = duties::DecodeResult(e.message.key, e.message.body);
+  auto result = duties::DecodeResult(effect.message.key, effect.message.body);
   if (!result) {
     ++malformed_;
     return;
@@ -142,24 +145,27 @@
   HandleInProbing(duties::ProbeResultReceived{std::move(*result)});
 }
 
-void Cluster::Perform(membership::DirectMessageReceived&& e) {
-  auto message = duties::DecodeMessage(e.body);
+void Cluster::Perform(membership::DirectMessageReceived&& effect) {
+  auto message = duties::DecodeMessage(effect.body);
   const auto lease = message ? leases_.find(message->duty) : leases_.end();
   if (lease == leases_.end()) {
     ++malformed_;
     return;
   }
-  HandleInLease(&lease->second, duties::LeaseMessageReceived{e.from, std::move(message->message)});
+  HandleInLease(&lease->second, duties::LeaseMessageReceived{effect.from, std::move(message->message)});
 }
 
-void Cluster::Perform(duties::StartProbe&& e) {
-  effects_->push_back(StartProbe{e.number, std::move(e.worker), std::move(e.address)});
+void Cluster::Perform(duties::StartProbe&& effect) {
+  effects_->push_back(StartProbe{effect.number, std::move(effect.worker), std::move(effect.address)});
 }
 
-void Cluster::Perform(duties::BroadcastResult&& e) {
-  HandleInMembership(membership::BroadcastRequested{{e.result.worker, duties::EncodeResult(e.result)}});
+void Cluster::Perform(duties::BroadcastResult&& effect) {
+  HandleInMembership(
+      membership::BroadcastRequested{{effect.result.worker, duties::EncodeResult(effect.result)}});
 }
 
-void Cluster::Perform(duties::DeliverResult&& e) { effects_->push_back(DeliverResult{std::move(e.result)}); }
+void Cluster::Perform(duties::DeliverResult&& effect) {
+  effects_->push_back(DeliverResult{std::move(effect.result)});
+}
 
 }  // namespace aldersill::cluster
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,5 +1,6 @@
-// Membership and the duties that build on it as one pure core: (now, event) -> effects, without sockets and
-// clocks. The daemon's component and the tests' virtual cluster drive the same class.
+// Combines membership, probe sharing and the leases of exclusive duties into one pure state machine without
+// sockets and clocks: (now, event) -> effects. The daemon's cluster component and the tests' virtual cluster
+// both run it.
 #ifndef ALDERSILL_SRC_CLUSTER_CLUSTER_H_
 #define ALDERSILL_SRC_CLUSTER_CLUSTER_H_
 
@@ -20,89 +21,94 @@
 
 struct Settings {
   membership::Settings membership;
-  std::optional<duties::ProbeSettings> probing;  // none: probing is not shared
-  std::vector<std::string> exclusive;            // duties that one member at a time holds
-  std::vector<std::string> voters;               // members that vote on their leases, the same at all
-  Micros lease = 10 * kSecond;                   // the leases' timespan
-  double max_clock_drift = 0.01;                 // of a clock's rate, either way
+  std::optional<duties::ProbeSettings> probing;  // none if probing is not shared
+  std::vector<std::string> exclusive;            // duties that only one member holds at a time
+  std::vector<std::string> voters;               // members that vote on the leases; equal at every member
+  Micros lease = 10 * kSecond;                   // duration of a lease
+  double max_clock_drift = 0.01;                 // relative error of a clock's rate, in either direction
 };
 
 // ---- Events ----
 
 struct Started {
-  std::uint64_t epoch = 0;  // Unix milliseconds at which this process started
+  std::uint64_t epoch = 0;  // start of this process, Unix milliseconds
 };
 struct PacketReceived {
-  std::string address;
+  std::string address;  // of the sender
   membership::Packet packet;
 };
-struct TimerExpired {};  // next_due() is reached
+struct TimerExpired {};  // the time next_due() has been reached
 struct WorkersChanged {
   std::vector<std::pair<std::string, std::string>> workers;  // the complete list, as (name, address)
 };
 struct ProbeCompleted {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // of StartProbe
   Outcome outcome = Outcome::kServed;
   Micros elapsed = 0;
   LoadReport report;
 };
-struct LeaveRequested {};  // for good: leases are released, and other members take over shared duties at once
+// This member leaves permanently: it releases its leases, and others take over its shared duties at once.
+struct LeaveRequested {};
 using Event =
     std::variant<Started, PacketReceived, TimerExpired, WorkersChanged, ProbeCompleted, LeaveRequested>;
 
 // ---- Effects ----
 
 struct SendPacket {
-  std::string address;
+  std::string address;  // of the receiver
   membership::Packet packet;
 };
 struct StartProbe {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // identifies the probe; ProbeCompleted returns it
   std::string worker;
   std::string address;
 };
-struct DeliverResult {  // to this member's decision module
+// Pass a probe result, of this or of another member, to this member's dispatcher.
+struct DeliverResult {
   duties::ProbeResult result;
 };
+// This member has acquired or lost the lease of a duty.
 struct LeaseChange {
   std::string duty;
-  bool acquired = false;  // else lost
+  bool acquired = false;  // false if the lease was lost
   std::uint64_t term = 0;
 };
 using Effect = std::variant<SendPacket, StartProbe, DeliverResult, membership::MembershipChange, LeaseChange>;
 
+// One member of the cluster.
 class Cluster {
  public:
   Cluster(Settings settings, std::uint64_t seed);
 
+  // Applies an event and appends the resulting effects.
   void Handle(Micros now, Event event, std::vector<Effect>* effects);
+  // When TimerExpired is next due.
   Micros next_due() const;
 
   const membership::Membership& members() const { return membership_; }
   // Null if probing is not shared.
   const duties::ProbeSharing* probing() const { return probing_ ? &*probing_ : nullptr; }
   const std::map<std::string, duties::Lease>& leases() const { return leases_; }
-  std::uint64_t malformed() const {
-    return malformed_;
-  }  // duty messages and probe results in authentic packets
+  // Number of received probe results and duty messages that were undecodable or concern an unknown duty.
+  std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void Apply(Started&& e);
-  void Apply(PacketReceived&& e);
-  void Apply(TimerExpired&& e);
-  void Apply(WorkersChanged&& e);
-  void Apply(ProbeCompleted&& e);
-  void Apply(LeaveRequested&& e);
-
-  void Perform(membership::SendPacket&& e);
-  void Perform(membership::MembershipChange&& e);
-  void Perform(membership::GossipReceived&& e);
-  void Perform(membership::DirectMessageReceived&& e);
-  void Perform(duties::StartProbe&& e);
-  void Perform(duties::BroadcastResult&& e);
-  void Perform(duties::DeliverResult&& e);
-
-  // Hand an event to one part and carry out its effects.
+  void Apply(Started&& event);
+  void Apply(PacketReceived&& event);
+  void Apply(TimerExpired&& event);
+  void Apply(WorkersChanged&& event);
+  void Apply(ProbeCompleted&& event);
+  void Apply(LeaveRequested&& event);
+
+  void Perform(membership::SendPacket&& effect);
+  void Perform(membership::MembershipChange&& effect);
+  void Perform(membership::GossipReceived&& effect);
+  void Perform(membership::DirectMessageReceived&& effect);
+  void Perform(duties::StartProbe&& effect);
+  void Perform(duties::BroadcastResult&& effect);
+  void Perform(duties::DeliverResult&& effect);
+
+  // Each of these passes an event to one component and performs the resulting effects.
   void HandleInMembership(membership::Event event);
   void HandleInProbing(duties::ProbeEvent event);
   void HandleInLease(duties::Lease* lease, duties::LeaseEvent event);
@@ -113,7 +119,7 @@
   std::vector<Effect>* effects_ = nullptr;
   membership::Membership membership_;
   std::optional<duties::ProbeSharing> probing_;
-  std::map<std::string, duties::Lease> leases_;
+  std::map<std::string, duties::Lease> leases_;  // by duty
   std::uint64_t malformed_ = 0;
 };
 
--- a/src/cluster/objects.cpp
+++ b/src/cluster/objects.cpp
@@ -39,14 +39,14 @@
     return {{"enabled", false}};
   nlohmann::json json = {{"enabled", true}, {"probing", nullptr}, {"exclusive", nlohmann::json::array()}};
   if (const duties::ProbeSharing* probing = core->probing()) {
-    const duties::ProbeCounters& c = probing->counters();
+    const duties::ProbeCounters& counters = probing->counters();
     json["probing"] = {{"owned", probing->owned()},
                        {"workers", probing->workers()},
-                       {"started", c.started},
-                       {"takeovers", c.takeovers},
-                       {"heard", c.results_received},
-                       {"overdue", c.overdue},
-                       {"slept_through", c.ended_while_paused}};
+                       {"started", counters.started},
+                       {"takeovers", counters.takeovers},
+                       {"heard", counters.results_received},
+                       {"overdue", counters.overdue},
+                       {"slept_through", counters.ended_while_paused}};
   }
   for (const auto& [duty, lease] : core->leases()) {
     const auto term = lease.HeldTerm(now);
@@ -59,8 +59,8 @@
   return json;
 }
 
-void AddObjects(const Cluster& core, const membership::TransportCounters& t, const membership::Sealer& sealer,
-                Micros now, snmp::ObjectMap* objects) {
+void AddObjects(const Cluster& core, const membership::TransportCounters& transport,
+                const membership::Sealer& sealer, Micros now, snmp::ObjectMap* objects) {
   std::array<std::uint32_t, 4> by_state{};
   for (const auto& [name, member] : core.members().View())
     ++by_state[static_cast<std::size_t>(member.state)];
@@ -68,28 +68,33 @@
   const auto scalar = [&](snmp::Value value) { (*objects)[{5, ++column, 0}] = std::move(value); };
   for (const std::uint32_t members : by_state)
     scalar(snmp::Gauge{members});
-  const membership::Counters& m = core.members().counters();
+  const membership::Counters& member_counters = core.members().counters();
   scalar(snmp::Gauge{static_cast<std::uint32_t>(core.members().health())});
   for (const std::uint64_t count :
-       {m.probes, m.probes_failed, m.suspicions, m.refutations, m.deaths, m.deaths_refuted, m.pauses})
+       {member_counters.probes, member_counters.probes_failed, member_counters.suspicions,
+        member_counters.refutations, member_counters.deaths, member_counters.deaths_refuted,
+        member_counters.pauses})
     scalar(snmp::Counter{count});
   const duties::ProbeSharing* probing = core.probing();
-  const duties::ProbeCounters c = probing != nullptr ? probing->counters() : duties::ProbeCounters{};
+  const duties::ProbeCounters probe_counters =
+      probing != nullptr ? probing->counters() : duties::ProbeCounters{};
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->owned() : 0)});
   scalar(snmp::Gauge{static_cast<std::uint32_t>(probing != nullptr ? probing->workers() : 0)});
-  for (const std::uint64_t count : {c.started, c.takeovers, c.results_received})
+  for (const std::uint64_t count :
+       {probe_counters.started, probe_counters.takeovers, probe_counters.results_received})
     scalar(snmp::Counter{count});
   std::uint32_t held = 0;
-  std::uint64_t taken = 0, lost = 0;
+  std::uint64_t acquired = 0, lost = 0;
   for (const auto& [duty, lease] : core.leases()) {
     held += lease.HeldTerm(now).has_value();
-    taken += lease.counters().acquired;
+    acquired += lease.counters().acquired;
     lost += lease.counters().lost;
   }
   scalar(snmp::Gauge{held});
-  scalar(snmp::Counter{taken});
+  scalar(snmp::Counter{acquired});
   scalar(snmp::Counter{lost});
-  for (const std::uint64_t count : {t.sent, t.sent_bytes, t.received, t.received_bytes, t.unsent})
+  for (const std::uint64_t count :
+       {transport.sent, transport.sent_bytes, transport.received, transport.received_bytes, transport.unsent})
     scalar(snmp::Counter{count});
   // Dropped datagrams by reason.
   const auto& dropped = sealer.dropped();
--- a/src/cluster/objects.h
+++ b/src/cluster/objects.h
@@ -1,4 +1,4 @@
-// The cluster's state for operators: the answers of `aldersill members` and `duties`, and the MIB objects.
+// The cluster's state for operators: the replies to `aldersill members` and `duties`, and the MIB objects.
 #ifndef ALDERSILL_SRC_CLUSTER_OBJECTS_H_
 #define ALDERSILL_SRC_CLUSTER_OBJECTS_H_
 
@@ -10,13 +10,15 @@
 
 namespace aldersill::cluster {
 
+// The names that operators see.
 const char* Name(membership::State state);
 const char* Name(membership::MembershipChange::Kind kind);
 
-// `core`: null if membership is off; the answer is then {"enabled": false}.
+// `core` is null if membership is disabled; the reply is then {"enabled": false}.
 nlohmann::json MembersAsJson(const Cluster* core);
 nlohmann::json DutiesAsJson(const Cluster* core, Micros now);
-void AddObjects(const Cluster& core, const membership::TransportCounters& wire,
+// Adds the cluster's MIB objects: the scalars in the order of the MIB, and the table of dropped datagrams.
+void AddObjects(const Cluster& core, const membership::TransportCounters& transport,
                 const membership::Sealer& sealer, Micros now, snmp::ObjectMap* objects);
 
 }  // namespace aldersill::cluster
--- a/src/duties/codec.cpp
+++ b/src/duties/codec.cpp
@@ -8,11 +8,11 @@
 namespace aldersill::duties {
 namespace {
 
-// The figures of a report in the order of the mask's bits.
-constexpr std::array<std::optional<double> LoadReport::*, 7> kFigures = {
+// The optional fields of a load report, in the order of their bits in the presence mask.
+constexpr std::array<std::optional<double> LoadReport::*, 7> kReportFields = {
     &LoadReport::in_work,      &LoadReport::waiting,      &LoadReport::cpu_share, &LoadReport::service_ms,
     &LoadReport::served_per_s, &LoadReport::errors_per_s, &LoadReport::free_slots};
-constexpr std::uint8_t kOutcomes = static_cast<std::uint8_t>(Outcome::kNotSent) + 1;
+constexpr std::uint8_t kOutcomeCount = static_cast<std::uint8_t>(Outcome::kNotSent) + 1;
 
 void Pack(MessagePacker& out, const Ballot& ballot) {
   out.pack(ballot.number);
@@ -22,11 +22,11 @@
   out.pack(holder.name);
   out.pack(holder.epoch);
 }
-// Braced initializers are evaluated in order: the order of the fields in the message.
+// Braced initializers are evaluated from left to right, which is the order of the fields in the message.
 Ballot TakeBallot(MessageFields& in) { return {in.Number53(), in.Name()}; }
 Holder TakeHolder(MessageFields& in) { return {in.Name(), in.Number53()}; }
 
-// Written in place of a promise's holder where there is none: every field is always present.
+// Encoded as the holder of a promise that has none, because every field of a message is always present.
 const Holder kNoHolder{"-", 0};
 
 void PackMessageFields(MessagePacker& out, const Prepare& prepare) { Pack(out, prepare.ballot); }
@@ -48,7 +48,8 @@
 }
 void PackMessageFields(MessagePacker& out, const Release& release) { Pack(out, release.holder); }
 
-// The number of fields of each message, by its index in the variant. The duty and the index precede them.
+// The number of fields of each lease message, by its index in the variant. In the encoding, the duty's name
+// and that index precede the fields.
 constexpr std::uint32_t kFieldCounts[] = {2, 6, 5, 2, 4, 2};
 
 Promise TakePromise(MessageFields& in) {
@@ -85,16 +86,21 @@
   return PackMessage([&](MessagePacker& out) {
     std::uint32_t present = 0;
     std::uint32_t mask = 0;
-    for (std::size_t i = 0; i < kFigures.size(); ++i) {
-      if ((result.report.*kFigures[i]).has_value())
-        ++present, mask |= 1U << i;
+    for (std::size_t i = 0; i < kReportFields.size(); ++i) {
+      if ((result.report.*kReportFields[i]).has_value()) {
+        ++present;
+        mask |= 1U << i;
+      }
     }
     out.pack_array(5 + present);
-    out.pack(result.stamp), out.pack(result.origin), out.pack(static_cast<std::uint8_t>(result.outcome));
-    out.pack(result.elapsed), out.pack(mask);
-    for (const auto figure : kFigures) {
-      if ((result.report.*figure).has_value())
-        out.pack(static_cast<float>(*(result.report.*figure)));
+    out.pack(result.stamp);
+    out.pack(result.origin);
+    out.pack(static_cast<std::uint8_t>(result.outcome));
+    out.pack(result.elapsed);
+    out.pack(mask);
+    for (const auto field : kReportFields) {
+      if ((result.report.*field).has_value())
+        out.pack(static_cast<float>(*(result.report.*field)));
     }
   });
 }
@@ -107,14 +113,14 @@
     result.stamp = in.Take<std::uint64_t>();
     result.origin = in.Name();
     const auto outcome = in.Take<std::uint8_t>();
-    if (outcome >= kOutcomes)
-      throw std::runtime_error("not an outcome");
+    if (outcome >= kOutcomeCount)
+      throw std::runtime_error("probe result: unknown outcome");
     result.outcome = static_cast<Outcome>(outcome);
     result.elapsed = in.Take<Micros>();
     const auto mask = in.Take<std::uint32_t>();
-    for (std::size_t i = 0; i < kFigures.size(); ++i) {
+    for (std::size_t i = 0; i < kReportFields.size(); ++i) {
       if ((mask >> i & 1U) != 0)
-        result.report.*kFigures[i] = in.Take<float>();
+        result.report.*kReportFields[i] = in.Take<float>();
     }
     in.End();
     return result;
@@ -125,7 +131,8 @@
   return PackMessage([&](MessagePacker& out) {
     const auto kind = static_cast<std::uint32_t>(message.message.index());
     out.pack_array(2 + kFieldCounts[kind]);
-    out.pack(message.duty), out.pack(kind);
+    out.pack(message.duty);
+    out.pack(kind);
     std::visit([&](const auto& alternative) { PackMessageFields(out, alternative); }, message.message);
   });
 }
@@ -137,7 +144,7 @@
     message.duty = in.Name();
     const auto kind = in.Take<std::uint32_t>();
     if (kind >= std::size(kFieldCounts))
-      throw std::runtime_error("not a kind");
+      throw std::runtime_error("duty message: unknown kind of lease message");
     message.message = TakeMessage(kind, in);
     in.End();
     return message;
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -43,8 +43,8 @@
   return std::find(settings_.voters.begin(), settings_.voters.end(), name) != settings_.voters.end();
 }
 
-Micros Lease::RandomBetween(Micros least, Micros most) {
-  return least + random_(static_cast<std::uint32_t>(std::max<Micros>(1, most - least)));
+Micros Lease::RandomBetween(Micros min, Micros max) {
+  return min + random_(static_cast<std::uint32_t>(std::max<Micros>(1, max - min)));
 }
 
 // ---- Events ----
@@ -72,18 +72,18 @@
   phase_ = Phase::kIdle;
   if (!term_)
     return;
-  Lose();
+  EndLease();
   SendToVoters(Release{Self()});
 }
 
-void Lease::Lose() {
+void Lease::EndLease() {
   effects_->push_back(LeaseLost{*std::exchange(term_, std::nullopt)});
   ++counters_.lost;
 }
 
 void Lease::EndExpiredLease() {
   if (term_ && now_ >= held_until_)
-    Lose();
+    EndLease();
 }
 
 void Lease::EndOverdueRound() {
@@ -117,7 +117,7 @@
   highest_seen_ = std::max(highest_seen_ + 1, static_cast<std::uint64_t>(now_ / kMillisecond));
   ballot_ = {highest_seen_, settings_.name};
   promised_by_.clear();
-  open_at_.clear();
+  free_voters_.clear();
   accepted_by_.clear();
   other_lease_remaining_ = 0;
   phase_ = Phase::kPreparing;
@@ -131,12 +131,12 @@
     return;
   promised_by_.insert(from);
   if (!promise.lease_holder || *promise.lease_holder == Self()) {
-    open_at_.insert(from);
+    free_voters_.insert(from);
   } else {
     other_lease_remaining_ =
         std::max(other_lease_remaining_, std::min(promise.remaining, settings_.timespan));
   }
-  if (IsMajority(open_at_)) {
+  if (IsMajority(free_voters_)) {
     StartProposing();
     return;
   }
@@ -149,7 +149,8 @@
 void Lease::StartProposing() {
   phase_ = Phase::kProposing;
   round_ends_ = now_ + settings_.timespan / 10;
-  proposed_at_ = now_;  // no voter can have accepted, and begun to count, before this
+  // The holder counts its lease from here, as no voter can accept it, and start its own count, any earlier.
+  proposed_at_ = now_;
   SendToVoters(Propose{ballot_, Self(), settings_.timespan});
 }
 
@@ -162,7 +163,7 @@
   phase_ = Phase::kIdle;
   const double usable = 1.0 - 2.0 * settings_.max_clock_drift;
   const Micros until = proposed_at_ + static_cast<Micros>(static_cast<double>(settings_.timespan) * usable);
-  next_round_ = proposed_at_ + settings_.timespan / 3;  // to renew
+  next_round_ = proposed_at_ + settings_.timespan / 3;  // the round that renews the lease
   if (until > now_)
     HoldUntil(until);
 }
--- a/src/duties/lease_acceptor.cpp
+++ b/src/duties/lease_acceptor.cpp
@@ -6,7 +6,8 @@
 
 void LeaseAcceptor::Start([[maybe_unused]] Micros now) {
 #ifndef ALDERSILL_PLANT_HASTY_VOTER  // a deliberate defect that cluster_search must find
-  // Longer than any lease that a former process can have accepted, by the slowest clock against the fastest.
+  // Longer than any lease that the previous process can have accepted, even if this member's clock is the
+  // fastest and the holder's clock the slowest.
   silent_until_ =
       now + static_cast<Micros>(static_cast<double>(max_timespan_) * (1.0 + 3.0 * max_clock_drift_));
 #endif
@@ -31,7 +32,7 @@
     return Rejected{propose.ballot, promised_};
   promised_ = propose.ballot;
   accepted_ = propose.holder;
-  // A proposer with other settings must not make this acceptor accept a lease longer than any it waits for.
+  // A proposer with different settings must not get a lease that outlasts the silent period of this acceptor.
   accepted_until_ = now + std::clamp<Micros>(propose.timespan, 0, max_timespan_);
   return Accepted{propose.ballot};
 }
--- a/src/duties/lease_acceptor.h
+++ b/src/duties/lease_acceptor.h
@@ -1,5 +1,5 @@
-// The acceptor of PaxosLease: one vote on who holds a duty. It keeps nothing on disk; after a restart it
-// stays silent until everything that its former process can have accepted has ended.
+// The acceptor of PaxosLease: one voter's vote on who holds the lease of a duty. It stores nothing on disk.
+// After a start it does not answer until every lease that its previous process may have accepted has expired.
 #ifndef ALDERSILL_SRC_DUTIES_LEASE_ACCEPTOR_H_
 #define ALDERSILL_SRC_DUTIES_LEASE_ACCEPTOR_H_
 
@@ -11,17 +11,20 @@
 
 class LeaseAcceptor {
  public:
-  // `max_timespan`: of any lease; `max_clock_drift`: of a clock's rate, either way.
+  // `max_timespan`: the longest duration of a lease. `max_clock_drift`: the relative error of a clock's rate,
+  // in either direction.
   LeaseAcceptor(Micros max_timespan, double max_clock_drift)
       : max_timespan_(max_timespan), max_clock_drift_(max_clock_drift) {}
 
+  // Begins the silent period. To be called once, before any message is handled.
   void Start(Micros now);
   Micros silent_until() const { return silent_until_; }
-  // The reply to the proposer; none while this acceptor is silent.
+  // Returns the reply to the proposer; no value during the silent period.
   std::optional<LeaseMessage> Handle(Micros now, const Prepare& prepare);
   std::optional<LeaseMessage> Handle(Micros now, const Propose& propose);
+  // Drops the accepted lease if `release` comes from its holder.
   void Handle(const Release& release);
-  // The holder of the accepted lease; none if that has ended.
+  // The holder of the accepted lease; none if no lease was accepted or it has expired.
   std::optional<Holder> LeaseHolder(Micros now) const;
 
  private:
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -13,7 +13,7 @@
 
 double Ownership::Score(const Member& member, const Worker& worker) {
   if (member.weight == 0)
-    return -1.0;  // owns nothing
+    return -1.0;  // a member of weight 0 owns no worker
   const std::uint64_t hashes[] = {member.hash, worker.hash};
   const double uniform = (static_cast<double>(XXH3_64bits(hashes, sizeof(hashes)) >> 11) + 0.5) * 0x1.0p-53;
   return -static_cast<double>(member.weight) / std::log(uniform);
@@ -55,9 +55,9 @@
 void Ownership::RemoveWorker(const std::string& name) { workers_.erase(name); }
 
 const std::string& Ownership::OwnerOf(const std::string& worker) const {
-  static const std::string kNobody;
+  static const std::string kNoOwner;
   const auto found = workers_.find(worker);
-  return found == workers_.end() ? kNobody : found->second.owner;
+  return found == workers_.end() ? kNoOwner : found->second.owner;
 }
 
 void Ownership::ChooseOwner(const std::string& name, Worker* worker, const Changed& changed) {
--- a/src/duties/ownership.h
+++ b/src/duties/ownership.h
@@ -1,6 +1,6 @@
-// Which member owns which worker: weighted rendezvous hashing (Thaler and Ravishankar 1998; the weights after
-// Schindelhauer and Schomaker 2005). When a member joins or leaves, only the workers that it gains or owned
-// change their owner.
+// Assigns each worker to one member, its owner, by weighted rendezvous hashing (Thaler and Ravishankar 1998;
+// the weights follow Schindelhauer and Schomaker 2005). When a member joins or leaves, only the workers that
+// it gains or owned get another owner.
 #ifndef ALDERSILL_SRC_DUTIES_OWNERSHIP_H_
 #define ALDERSILL_SRC_DUTIES_OWNERSHIP_H_
 
@@ -11,30 +11,33 @@
 
 namespace aldersill::duties {
 
+// The owners of all known workers. Members with the same view of the membership compute the same owners.
 class Ownership {
  public:
-  // Called with each worker whose owner has changed; an empty owner: none.
+  // Called for each worker whose owner has changed. `owner` is empty if the worker has no owner.
   using Changed = std::function<void(const std::string& worker, const std::string& owner)>;
 
+  // Adds a member or changes its weight. A member of weight 0 owns no worker.
   void SetMember(const std::string& name, std::uint32_t weight, const Changed& changed);
   void RemoveMember(const std::string& name, const Changed& changed);
   void AddWorker(const std::string& name, const Changed& changed);
   void RemoveWorker(const std::string& name);
 
-  const std::string& OwnerOf(const std::string& worker) const;  // empty for none
+  // The owner of the worker; empty if the worker is unknown or has no owner.
+  const std::string& OwnerOf(const std::string& worker) const;
   std::size_t workers() const { return workers_.size(); }
 
  private:
   struct Member {
-    std::uint64_t hash = 0;
+    std::uint64_t hash = 0;  // of the name
     std::uint32_t weight = 0;
   };
   struct Worker {
-    std::uint64_t hash = 0;
-    std::string owner;
-    double score = 0.0;
+    std::uint64_t hash = 0;  // of the name
+    std::string owner;       // empty for none
+    double score = 0.0;      // of the owner for this worker
   };
-  // The owner is the member with the highest score; below 0: it takes no part.
+  // The member with the highest score owns the worker. A negative score excludes the member.
   static double Score(const Member& member, const Worker& worker);
   void ChooseOwner(const std::string& name, Worker* worker, const Changed& changed);
 
--- a/src/duties/probe_sharing.cpp
+++ b/src/duties/probe_sharing.cpp
@@ -8,9 +8,11 @@
 namespace {
 
 constexpr Micros kNever = INT64_MAX;
-// A stamp further ahead than any clock may be would hide every later result.
+// Stamps further ahead of this member's clock are rejected: such a result would make all later results of its
+// worker look outdated.
 constexpr Micros kMaxStampLead = 30 * kSecond;
-// Workers of a member that left are probed within this fraction of an interval, not all at once.
+// The first probes of the workers taken over from a member that left are spread over 1/kTakeoverSpread of the
+// interval, so that they do not start all at once.
 constexpr Micros kTakeoverSpread = 10;
 
 }  // namespace
@@ -30,7 +32,7 @@
   Micros due = kNever;
   if (!schedule_.empty() && std::ssize(in_flight_) < settings_.max_in_flight)
     due = schedule_.begin()->first;
-  // Numbers and overdue times grow together: the first probe is the first to be overdue.
+  // A probe with a higher number is overdue later, so the first entry is the first to become overdue.
   if (!in_flight_.empty())
     due = std::min(due, in_flight_.begin()->second.overdue_at);
   return due;
@@ -83,12 +85,12 @@
   worker.owned_here = owned_here;
   owned_ += owned_here ? 1 : -1;
   if (!owned_here)
-    return Unschedule(name, &worker);  // a probe in flight still counts when it ends
+    return Unschedule(name, &worker);  // the result of a probe in flight is still used
   if (by_departure)
     ++counters_.takeovers;
   if (worker.in_flight)
     return;
-  // Keeps the former owner's schedule; a worker that is behind it is probed soon.
+  // Continues the previous owner's schedule. A worker whose probe is overdue in that schedule is probed soon.
   const Micros usual = worker.last ? TimeOf(worker.last->stamp) + settings_.interval : now_;
   const Micros soon =
       now_ + RandomWithin(by_departure ? settings_.interval / kTakeoverSpread : settings_.interval);
@@ -120,7 +122,8 @@
     Worker& worker = workers_.at(name);
     const std::uint64_t number = next_number_++;
     worker.in_flight = number;
-    // The next probe keeps the schedule, unless this one is so late that it would follow at once.
+    // The next probe keeps to the schedule, unless this probe is late by half an interval or more: the next
+    // one would then follow too closely.
     worker.due = now_ - at < settings_.interval / 2
                      ? at + settings_.interval
                      : now_ + settings_.interval / 2 + RandomWithin(settings_.interval / 2);
@@ -148,7 +151,7 @@
   if (worker.owned_here)
     Schedule(name, &worker, worker.due);
   if (paused) {
-    // It may have ended while this process was paused, and other members have probed since.
+    // The probe may have ended at any time during the pause, and other members may have newer results.
     ++counters_.ended_while_paused;
     return;
   }
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -9,9 +9,9 @@
 namespace aldersill::membership {
 namespace {
 
-// A member without living peers contacts at most so many lost addresses at once.
-constexpr std::size_t kMaxLostContacted = 16;
-// Of a packet that carries a part of the full state: everything but the members.
+// The number of unreachable addresses that a member without living peers contacts at once.
+constexpr std::size_t kMaxUnreachableContacted = 16;
+// Upper bound, in bytes, of everything but the members in a packet that carries a part of the full state.
 constexpr std::size_t kFullStatePacketOverhead = 200;
 
 }  // namespace
@@ -25,7 +25,8 @@
 void AntiEntropy::SendDigests() {
   const Settings& settings = state_.settings;
   const bool alone = table_.living() <= 1;
-  // Varied by an eighth either way, so that members started together do not stay in step.
+  // The interval varies by up to an eighth in either direction, so that members that start at the same time
+  // do not stay in lockstep.
   const Micros interval = alone ? settings.probe_interval : settings.anti_entropy_interval;
   next_exchange_ =
       state_.now + interval - interval / 8 + state_.random(static_cast<std::uint32_t>(interval / 4 + 1));
@@ -34,35 +35,35 @@
   const ViewDigest digest{table_.Digest()};
   for (const std::string& peer : peers_.RandomPeers(1))
     dissemination_.SendToMember(peer, digest);
-  std::vector<std::string> lost = LostAddresses();
-  if (lost.empty())
+  std::vector<std::string> unreachable = UnreachableAddresses();
+  if (unreachable.empty())
     return;
   if (!alone) {
-    dissemination_.Send(lost[state_.random(static_cast<std::uint32_t>(lost.size()))], digest);
+    dissemination_.Send(unreachable[state_.random(static_cast<std::uint32_t>(unreachable.size()))], digest);
     return;
   }
-  std::sort(lost.begin(), lost.end());
-  lost.erase(std::unique(lost.begin(), lost.end()), lost.end());
-  if (lost.size() > kMaxLostContacted)
-    lost.resize(kMaxLostContacted);
-  for (const std::string& address : lost)
+  std::sort(unreachable.begin(), unreachable.end());
+  unreachable.erase(std::unique(unreachable.begin(), unreachable.end()), unreachable.end());
+  if (unreachable.size() > kMaxUnreachableContacted)
+    unreachable.resize(kMaxUnreachableContacted);
+  for (const std::string& address : unreachable)
     dissemination_.Send(address, digest);
 }
 
-std::vector<std::string> AntiEntropy::LostAddresses() const {
-  std::vector<std::string> lost;
+std::vector<std::string> AntiEntropy::UnreachableAddresses() const {
+  std::vector<std::string> unreachable;
   std::set<std::string> connected{state_.settings.address};
   for (const auto& [name, record] : table_.records()) {
     if (IsLiving(record.update.state))
       connected.insert(record.update.address);
     if (record.update.state == State::kDead)
-      lost.push_back(record.update.address);
+      unreachable.push_back(record.update.address);
   }
   for (const std::string& address : state_.settings.join) {
     if (!connected.contains(address))
-      lost.push_back(address);
+      unreachable.push_back(address);
   }
-  return lost;
+  return unreachable;
 }
 
 void AntiEntropy::HandleDigest(const std::string& address, const std::string& from,
@@ -77,8 +78,8 @@
   std::size_t size = MaxEncodedSize(part.front());
   ++state_.counters.full_states_sent;
   for (const auto& [name, record] : table_.records()) {
-    // Members that left need no repair. Dead ones are included: a receiver that knows them may have missed
-    // it.
+    // Members that left need no repair. Dead members are included, because a receiver that still takes them
+    // for living may have missed their deaths.
     if (record.update.state == State::kLeft)
       continue;
     const std::size_t more = MaxEncodedSize(record.update);
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,6 +1,6 @@
-// Anti-entropy: members compare digests of their views and exchange the full state where these differ. It
-// also contacts dead members and lost join addresses, as nothing else rejoins the sides of a healed
-// partition.
+// Anti-entropy: members compare digests of their views and exchange their full state if the digests differ.
+// It also contacts dead members and unreachable join addresses, because nothing else merges the two sides of
+// a partition after it heals.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_ANTI_ENTROPY_H_
 #define ALDERSILL_SRC_MEMBERSHIP_ANTI_ENTROPY_H_
 
@@ -16,17 +16,24 @@
   AntiEntropy(ProtocolState& state, const MemberTable& table, PeerSelector& peers,
               Dissemination& dissemination);
 
+  // Makes the first exchange due at once.
   void Start() { next_exchange_ = state_.now; }
   Micros next_due() const { return next_exchange_; }
+  // Moves the next exchange to `time` if it is due earlier.
   void PostponeTo(Micros time);
 
+  // Sends a digest to a random living member and to one unreachable address, or to several unreachable
+  // addresses if no other member is living. Schedules the next exchange.
   void SendDigests();
+  // Replies with the full state if the sender is not a living member here or its digest differs.
   void HandleDigest(const std::string& address, const std::string& from, const ViewDigest& received);
-  // In as many packets as the state needs. `request_reply`: the receiver is to send its own in return.
+  // Sends this member's view, in as many packets as it needs. `request_reply` asks the receiver to send its
+  // own view in return.
   void SendFullState(const std::string& address, bool request_reply);
 
  private:
-  std::vector<std::string> LostAddresses() const;
+  // The addresses of dead members, and the join addresses that no living member has.
+  std::vector<std::string> UnreachableAddresses() const;
 
   ProtocolState& state_;
   const MemberTable& table_;
--- a/src/membership/broadcast_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -1,5 +1,6 @@
-// SWIM's dissemination buffer (Das, Gupta, Motivala 2002, section 4.1): items to piggyback on packets, each a
-// bounded number of times, the least transmitted first, and of these the newest first.
+// SWIM's dissemination buffer (Das, Gupta, Motivala 2002, section 4.1): a bounded queue of items to piggyback
+// on packets. Each item is transmitted a limited number of times; the least transmitted items go first, and
+// among these the newest.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_BROADCAST_QUEUE_H_
 #define ALDERSILL_SRC_MEMBERSHIP_BROADCAST_QUEUE_H_
 
@@ -14,13 +15,14 @@
 
 namespace aldersill::membership {
 
+// Holds at most one item for each key.
 template <typename T>
 class BroadcastQueue {
  public:
   explicit BroadcastQueue(std::size_t max_items) : max_items_(max_items) {}
 
-  // Replaces the item of the same key. Beyond its bound the queue drops the most transmitted item. `size`:
-  // the item's bytes in a packet.
+  // Adds an item in place of an earlier one with the same key. If the queue then exceeds its limit, it drops
+  // the most transmitted item. `size` is the number of bytes that the item takes in a packet.
   void Put(const std::string& key, T value, std::size_t size) {
     Remove(key);
     const Rank rank{.transmissions = 0, .age = -static_cast<std::int64_t>(++puts_), .key = key};
@@ -41,8 +43,8 @@
     items_.erase(found);
   }
 
-  // Appends as many items as fit into `bytes` and returns the bytes left. An item is removed once it has been
-  // taken `max_transmissions` times.
+  // Appends items to `taken`, in the order of the queue, until the next one does not fit into `bytes`.
+  // Returns the number of bytes left. An item leaves the queue once it was taken `max_transmissions` times.
   std::size_t Take(std::size_t bytes, int max_transmissions, std::vector<T>* taken) {
     std::vector<std::string> keys;
     for (const Rank& rank : order_) {
@@ -60,18 +62,20 @@
 
   std::size_t size() const { return items_.size(); }
   bool empty() const { return items_.empty(); }
+  // Number of items dropped because of the limit.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
+  // The sort key of the queue's order.
   struct Rank {
     int transmissions = 0;
-    std::int64_t age = 0;  // the newest is the smallest
+    std::int64_t age = 0;  // the newest item has the smallest value
     std::string key;
     auto operator<=>(const Rank&) const = default;
   };
   struct Item {
     T value;
-    std::size_t size;
+    std::size_t size;  // bytes in a packet
     Rank rank;
   };
 
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -5,18 +5,23 @@
 namespace aldersill::membership {
 namespace {
 
-constexpr std::uint32_t kVersion = 1;
+constexpr std::uint32_t kVersion = 1;  // of the packet format
 
 void Pack(MessagePacker& out, const Update& update) {
   out.pack_array(7);
-  out.pack(update.name), out.pack(update.address), out.pack(update.incarnation.epoch),
-      out.pack(update.incarnation.number);
-  out.pack(static_cast<std::uint8_t>(update.state)), out.pack(update.weight), out.pack(update.accuser);
+  out.pack(update.name);
+  out.pack(update.address);
+  out.pack(update.incarnation.epoch);
+  out.pack(update.incarnation.number);
+  out.pack(static_cast<std::uint8_t>(update.state));
+  out.pack(update.weight);
+  out.pack(update.accuser);
 }
 
 void Pack(MessagePacker& out, const GossipMessage& message) {
   out.pack_array(2);
-  out.pack(message.key), out.pack(message.body);
+  out.pack(message.key);
+  out.pack(message.body);
 }
 
 template <typename T>
@@ -28,11 +33,16 @@
 
 void PackFields(MessagePacker& out, const Ping& message) {
   out.pack_array(3);
-  out.pack(message.number), out.pack(message.target), out.pack(message.epoch);
+  out.pack(message.number);
+  out.pack(message.target);
+  out.pack(message.epoch);
 }
 void PackFields(MessagePacker& out, const IndirectPing& message) {
   out.pack_array(4);
-  out.pack(message.number), out.pack(message.target), out.pack(message.address), out.pack(message.epoch);
+  out.pack(message.number);
+  out.pack(message.target);
+  out.pack(message.address);
+  out.pack(message.epoch);
 }
 void PackFields(MessagePacker& out, const Ack& message) {
   out.pack_array(1);
@@ -49,7 +59,8 @@
 }
 void PackFields(MessagePacker& out, const FullState& message) {
   out.pack_array(2);
-  PackAll(out, message.members), out.pack(message.reply);
+  PackAll(out, message.members);
+  out.pack(message.reply);
 }
 void PackFields(MessagePacker& out, const DirectMessage& message) {
   out.pack_array(1);
@@ -64,12 +75,12 @@
   update.incarnation.number = in.Take<std::uint32_t>();
   const auto state = in.Take<std::uint8_t>();
   if (state > static_cast<std::uint8_t>(State::kLeft))
-    throw std::runtime_error("not a state");
+    throw std::runtime_error("update: unknown member state");
   update.state = static_cast<State>(state);
   update.weight = in.Take<std::uint32_t>();
   update.accuser = in.Take<std::string>();
   if (update.accuser.size() > kMostMessageName)
-    throw std::runtime_error("not a name");
+    throw std::runtime_error("update: accuser's name too long");
   return update;
 }
 
@@ -80,7 +91,7 @@
   return message;
 }
 
-// Braced initializers are evaluated in order: the order of the fields in the packet.
+// Braced initializers are evaluated from left to right, which is the order of the fields in the packet.
 Message TakeMessage(std::uint32_t kind, MessageFields in) {
   switch (kind) {
     case 0:
@@ -100,7 +111,7 @@
     case 7:
       return DirectMessage{in.Take<std::string>()};
     default:
-      throw std::runtime_error("not a kind");
+      throw std::runtime_error("packet: unknown kind of message");
   }
 }
 
@@ -109,7 +120,9 @@
 std::string Encode(const Packet& packet) {
   return PackMessage([&](MessagePacker& out) {
     out.pack_array(7);
-    out.pack(kVersion), out.pack(packet.from), out.pack(packet.epoch);
+    out.pack(kVersion);
+    out.pack(packet.from);
+    out.pack(packet.epoch);
     out.pack(static_cast<std::uint32_t>(packet.message.index()));
     std::visit([&](const auto& message) { PackFields(out, message); }, packet.message);
     PackAll(out, packet.updates);
@@ -121,7 +134,7 @@
   return UnpackMessage<Packet>(bytes, [](const msgpack::object& object) {
     MessageFields in(object);
     if (in.Take<std::uint32_t>() != kVersion)
-      throw std::runtime_error("another version");
+      throw std::runtime_error("packet: unsupported version of the format");
     Packet packet;
     packet.from = in.Name();
     packet.epoch = in.Number53();
--- a/src/membership/codec.h
+++ b/src/membership/codec.h
@@ -1,4 +1,4 @@
-// The encoding of packets: one MessagePack array for each packet, the version first.
+// The encoding of packets: each packet is one MessagePack array that starts with the version of the format.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_CODEC_H_
 #define ALDERSILL_SRC_MEMBERSHIP_CODEC_H_
 
@@ -11,8 +11,8 @@
 namespace aldersill::membership {
 
 std::string Encode(const Packet& packet);
-// No value for bytes that are not a packet of this version, hold too many items, or an invalid name or
-// address.
+// Returns no value if the bytes are not a packet of this version, or if a list in it is too long or a name or
+// an address is invalid.
 std::optional<Packet> Decode(std::string_view bytes);
 
 }  // namespace aldersill::membership
--- a/src/membership/dissemination.cpp
+++ b/src/membership/dissemination.cpp
@@ -9,7 +9,7 @@
 namespace aldersill::membership {
 namespace {
 
-// Of a packet that carries one gossip message: everything but that message.
+// Upper bound, in bytes, of everything but the gossip message in a packet that carries one.
 constexpr std::size_t kGossipPacketOverhead = 128;
 
 }  // namespace
@@ -45,7 +45,7 @@
                 .updates = {},
                 .gossip = {}};
   std::size_t used = MaxEncodedSize(packet);
-  // Lifeguard's buddy system: a suspect learns of its suspicion from every member that contacts it.
+  // Lifeguard's buddy system: every member that contacts a suspect informs it of the suspicion.
   if (const MemberRecord* to = table_.Find(to_member); to != nullptr && to->update.state == State::kSuspect) {
     used += MaxEncodedSize(to->update);
     packet.updates.push_back(to->update);
@@ -53,7 +53,7 @@
   if (used < settings.max_packet_bytes) {
     const std::size_t left =
         updates_.Take(settings.max_packet_bytes - used, UpdateTransmissions(), &packet.updates);
-    // Pings and acks stay short: gossip messages travel with gossip alone.
+    // Only packets of kind Gossip carry gossip messages, so that pings and acks stay short.
     if (std::holds_alternative<Gossip>(packet.message))
       gossip_.Take(left, settings.gossip_transmissions, &packet.gossip);
   }
@@ -74,7 +74,7 @@
   if (idle())
     return;
   for (const std::string& peer : peers_.RandomPeers(static_cast<std::size_t>(settings.gossip_fanout), "",
-                                                    PeerSelector::Among::kLivingAndRecentlyDead)) {
+                                                    PeerSelector::Candidates::kLivingAndRecentlyDead)) {
     if (idle())
       return;
     SendGossipTo(peer);
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,6 +6,7 @@
 namespace aldersill::membership {
 namespace {
 
+// Limit of concurrent pings on other members' behalf; further requests are ignored.
 constexpr std::size_t kMaxRelays = 256;
 
 }  // namespace
@@ -61,7 +62,8 @@
     dissemination_.SendToMember(
         peer, IndirectPing{probe_->number, member.name, member.address, member.incarnation.epoch});
   }
-  // With no other member to ask, the fault may as well be this member's own.
+  // Without any other member to ask, this member itself may equally be at fault: a failure then worsens its
+  // health score by one.
   probe_->negative_acks_expected = std::max(probe_->negative_acks_expected, 1);
 }
 
@@ -70,7 +72,7 @@
   if (!probe || probe->acked)
     return std::nullopt;
   ++state_.counters.probes_failed;
-  // Members that sent neither an ack nor a negative ack: the fault is likelier this member's own.
+  // If members asked sent neither an ack nor a negative ack, this member itself is more likely at fault.
   state_.health.Worsen(probe->negative_acks_expected);
   const MemberRecord* target = table_.Find(probe->target);
   if (target == nullptr || !IsLiving(target->update.state))
@@ -89,7 +91,8 @@
   }
   if (!probe_ || probe_->number != ack.number || probe_->acked)
     return;
-  // Only the target itself can send a direct ack; later acks may also come through the members asked.
+  // A direct ack must come from the target itself. Once indirect pings have been sent, the members asked may
+  // also forward the ack.
   if (!probe_->indirect_pings_sent && from != probe_->target)
     return;
   probe_->acked = true;
@@ -110,7 +113,7 @@
     dissemination_.Send(address, Ack{ping.number});
     return;
   }
-  // The ping is for a former process of this member: its sender has to learn of the restart.
+  // The ping is for a previous process of this member, so its sender must be told of the restart.
   dissemination_.EnqueueUpdate(state_.Self());
   dissemination_.Send(address, Gossip{});
 }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,5 +1,6 @@
-// SWIM's failure detector: in each protocol period one member is pinged directly; if it sends no ack in time,
-// other members are asked to ping it; if none of them reports an ack by the end of the period, it is accused.
+// SWIM's failure detector. In each protocol period it pings one member directly. If that member does not ack
+// in time, the detector asks other members to ping it; if no ack has arrived by the end of the period, it
+// accuses the member.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define ALDERSILL_SRC_MEMBERSHIP_FAILURE_DETECTOR_H_
 
@@ -17,13 +18,18 @@
   FailureDetector(ProtocolState& state, const MemberTable& table, PeerSelector& peers,
                   Dissemination& dissemination);
 
+  // Schedules the first protocol period.
   void Start();
+  // When the detector next has something to do.
   Micros next_due() const;
   bool PeriodIsOver() const { return next_period_ <= state_.now; }
-  // Ends the current probe. If its target did not answer: the accusation, for the caller to apply.
+  // Ends the current probe. Returns the accusation, for the caller to apply, if the target did not answer.
   std::optional<Update> EndPeriod();
+  // Pings the next target and schedules the following period.
   void BeginPeriod();
+  // Sends the indirect pings if the target's direct ack is overdue.
   void SendDueIndirectPings();
+  // Sends a negative ack for each overdue indirect ping, and forgets it.
   void SendDueNegativeAcks();
 
   void HandlePing(const std::string& address, const Ping& ping);
@@ -31,25 +37,28 @@
   void HandleAck(const std::string& from, const Ack& ack);
   void HandleNegativeAck(const NegativeAck& ack);
 
-  // Gives up the current probe: the target is not accused.
+  // Drops the current probe without accusing the target.
   void AbandonProbe() { probe_.reset(); }
+  // Drops the indirect pings on other members' behalf.
   void AbandonRelays() { relays_.clear(); }
+  // Moves the next protocol period to `time` if it is due earlier.
   void PostponeTo(Micros time);
 
  private:
+  // This member's probe of the current period.
   struct Probe {
     std::string target;
     std::uint32_t number = 0;
-    int negative_acks_expected = 0;
+    int negative_acks_expected = 0;  // members asked that have not sent a negative ack
     bool acked = false;
     bool indirect_pings_sent = false;
-    Micros indirect_pings_at = 0;
+    Micros indirect_pings_at = 0;  // when the direct ack is overdue
   };
-  // An indirect ping on another member's behalf.
+  // A ping that this member sent on another member's behalf.
   struct Relay {
-    std::string address;       // of the member that asked for it
-    std::uint32_t number = 0;  // of that member's probe
-    Micros negative_ack_at = 0;
+    std::string address;         // of the member that asked for it
+    std::uint32_t number = 0;    // of that member's probe
+    Micros negative_ack_at = 0;  // when the negative ack is due
   };
   bool AwaitsDirectAck() const { return probe_ && !probe_->acked && !probe_->indirect_pings_sent; }
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -7,7 +7,8 @@
 namespace aldersill::membership {
 namespace {
 
-// Outdated updates of a member that left may circulate for this long; it is remembered until then.
+// A member that left is remembered for this long, because outdated updates about it may circulate and would
+// add it again.
 constexpr Micros kLeftRetention = 60 * kSecond;
 
 }  // namespace
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr Micros kNever = INT64_MAX;
+// Interval at which members past their retention time are removed from the table.
 constexpr Micros kForgetInterval = 10 * kSecond;
-// Members that are notified directly when this member leaves.
+// The number of members that this member notifies directly when it leaves.
 constexpr std::size_t kLeaveFanout = 8;
 
 }  // namespace
@@ -57,7 +58,7 @@
 
 void Membership::Apply(PacketReceived&& received) {
   const Packet& packet = received.packet;
-  // A packet under this member's own name was reflected, or another member wrongly uses the name.
+  // A packet with this member's own name was reflected by the network, or another member uses the same name.
   if (!started_ || packet.from == state_.settings.name)
     return;
   for (const Update& update : packet.updates)
@@ -72,7 +73,7 @@
   if (!started_)
     return;
   if (const Micros late = state_.now - next_due(); late > state_.settings.probe_interval)
-    CompensatePause(late);
+    CompensateForPause(late);
   while (next_due() <= state_.now) {
     detector_.SendDueIndirectPings();
     while (const std::optional<std::string> member = suspicions_.TimedOut())
@@ -153,7 +154,7 @@
     return;
   if (sender->update.state != State::kDead || sender->update.incarnation.epoch > packet.epoch)
     return;
-  sender->since = state_.now;  // notified at most once a gossip interval
+  sender->since = state_.now;  // limits the notifications to one per gossip interval
   dissemination_.Send(address, FullState{{sender->update}, false});
 }
 
@@ -177,7 +178,7 @@
 }
 
 void Membership::AddMember(const Update& reported) {
-  // A member that was never known and is gone needs no record.
+  // An unknown member that is dead or has left needs no record.
   if (!IsLiving(reported.state))
     return;
   if (table_.full() && !table_.ForgetOldestDead()) {
@@ -232,7 +233,8 @@
   if (reported.address != state_.settings.address && reported.incarnation >= state_.incarnation)
     ++state_.counters.name_conflicts;
   if (reported.incarnation.epoch > state_.incarnation.epoch) {
-    // A former process whose clock was ahead, or another member under this name: this one must supersede it.
+    // The report is about a previous process whose clock was ahead, or about another member with this name.
+    // This process must supersede it.
     state_.incarnation = {.epoch = reported.incarnation.epoch + 1, .number = 0};
     dissemination_.EnqueueUpdate(self());
   } else if (reported.incarnation < state_.incarnation) {
@@ -263,7 +265,7 @@
     ChangeState(record, suspect, Kind::kSuspect);
     suspicions_.Begin(name);
   } else if (suspicions_.IsConfirmation(name, accusation.accuser)) {
-    // Lifeguard: confirmations are disseminated as well, as they shorten the other members' timeouts.
+    // Lifeguard disseminates confirmations as well: they shorten the suspicion timeout at other members.
     dissemination_.EnqueueUpdate(suspect);
   } else {
     return;
@@ -286,12 +288,12 @@
   ApplyUpdate(dead);
 }
 
-// ---- Pauses and forgetting ----
+// ---- Pauses and retention ----
 
-void Membership::CompensatePause(Micros gap) {
+void Membership::CompensateForPause(Micros gap) {
   ++state_.counters.pauses;
   state_.health.Worsen(1);
-  detector_.AbandonProbe();  // its ack may have arrived and been dropped meanwhile
+  detector_.AbandonProbe();  // its ack may have arrived and been dropped during the pause
   detector_.AbandonRelays();
   suspicions_.Postpone(gap);
   const Micros earliest = state_.now + state_.settings.gossip_interval;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
 // Group membership: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey
-// 2018). A pure core: (now, event) -> state change and effects, without sockets, clocks or encodings. The
-// same settings, seed, events and times give the same effects.
+// 2018). A pure state machine without sockets, clocks or encodings: (now, event) -> effects. The same
+// settings, seed, events and times always produce the same effects.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_MEMBERSHIP_H_
 #define ALDERSILL_SRC_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -23,24 +23,30 @@
 
 namespace aldersill::membership {
 
+// One member's view of the group, and its part in the protocol.
 class Membership {
  public:
   Membership(Settings settings, std::uint64_t seed);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
+  // Applies an event and appends the resulting effects. `now` is Unix time in microseconds; a value below
+  // that of the previous event is raised to it.
   void Handle(Micros now, Event event, std::vector<Effect>* effects);
-  // When TimerExpired is next due.
+  // When TimerExpired is next due; INT64_MAX before Started.
   Micros next_due() const;
 
   const Settings& settings() const { return state_.settings; }
   const Counters& counters() const { return state_.counters; }
   Update self() const { return state_.Self(); }
-  // All members that are remembered, this one included, by name.
+  // The states of all remembered members, including this one, by name.
   std::map<std::string, Update> View() const { return table_.View(); }
+  // The state of a member; none if it is unknown.
   std::optional<State> StateOf(const std::string& name) const;
-  int health() const { return state_.health.score(); }    // 0: healthy
-  std::size_t living() const { return table_.living(); }  // alive or suspect, this member included
+  // Lifeguard's local health score: 0 (healthy) to Settings::max_health_score.
+  int health() const { return state_.health.score(); }
+  // Number of alive or suspect members, including this one.
+  std::size_t living() const { return table_.living(); }
 
  private:
   using Kind = MembershipChange::Kind;
@@ -60,23 +66,26 @@
   void ApplyMessage(const std::string& address, const Packet& packet, const ViewDigest& digest);
   void ApplyMessage(const std::string& address, const Packet& packet, const FullState& state);
   void ApplyMessage(const std::string& address, const Packet& packet, const DirectMessage& message);
-  // A sender that is reported dead learns of it at once, and can refute it.
+  // If the sender of the packet is dead in this member's view, informs it, so that it can refute this.
   void NotifyIfReportedDead(const std::string& address, const Packet& packet);
 
-  // SWIM's order of updates: a reported state is applied only if it supersedes the known one.
+  // Applies a reported state if it supersedes the known one in SWIM's order of updates.
   void ApplyUpdate(const Update& reported);
   void AddMember(const Update& reported);
   void ApplyAlive(MemberRecord* record, const Update& reported);
   void ApplySuspect(MemberRecord* record, const Update& reported);
   void ApplyDeadOrLeft(MemberRecord* record, const Update& reported);
   void HandleUpdateAboutSelf(const Update& reported);
+  // Raises this member's incarnation above `reported` and disseminates that it is alive.
   void Refute(const Incarnation& reported);
+  // Begins a suspicion of an alive member, or counts a confirmation of an existing one.
   void RecordSuspicion(MemberRecord* record, const Update& accusation);
   void ChangeState(MemberRecord* record, const Update& update, Kind kind);
   void DeclareDead(const std::string& name);
 
-  // This process was not scheduled for `gap`: the other members are not to blame for what is overdue.
-  void CompensatePause(Micros gap);
+  // Handles a pause of this process of length `gap`. The other members are not at fault for what is overdue,
+  // so this drops the current probe and postpones the suspicions' deadlines and the other timers.
+  void CompensateForPause(Micros gap);
   void ForgetExpiredMembers();
 
   ProtocolState state_;
--- a/src/membership/packet_size.cpp
+++ b/src/membership/packet_size.cpp
@@ -3,7 +3,7 @@
 namespace aldersill::membership {
 namespace {
 
-// Lengths, numbers and the array heads around the strings.
+// Bytes of everything but the strings: numbers, string lengths and array headers.
 constexpr std::size_t kUpdateOverhead = 32;
 constexpr std::size_t kGossipOverhead = 12;
 constexpr std::size_t kPacketOverhead = 56;
--- a/src/membership/packet_size.h
+++ b/src/membership/packet_size.h
@@ -1,5 +1,5 @@
-// Upper bounds of the encoded sizes, in bytes. codec.cpp writes the encoding; the tests hold every packet to
-// its bound.
+// Upper bounds of encoded sizes, in bytes, for the encoding of codec.cpp. The tests check that no packet
+// exceeds its bound.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_PACKET_SIZE_H_
 #define ALDERSILL_SRC_MEMBERSHIP_PACKET_SIZE_H_
 
@@ -11,7 +11,7 @@
 
 std::size_t MaxEncodedSize(const Update& update);
 std::size_t MaxEncodedSize(const GossipMessage& message);
-// Of the packet's head and message, without what is piggybacked.
+// The size of the packet's header and message, without piggybacked updates and gossip messages.
 std::size_t MaxEncodedSize(const Packet& packet);
 
 }  // namespace aldersill::membership
--- a/src/membership/peer_selector.cpp
+++ b/src/membership/peer_selector.cpp
@@ -5,16 +5,17 @@
 namespace aldersill::membership {
 namespace {
 
-// Members that died this recently still get gossip: they learn that they are reported dead, and can refute
-// it.
+// Members that were declared dead less than this long ago still get gossip, so that they learn of it and can
+// refute it.
 constexpr Micros kRecentlyDead = 30 * kSecond;
+// Random draws per wanted peer before RandomPeers falls back to a linear search.
 constexpr std::size_t kDrawsPerPeer = 4;
 
 }  // namespace
 
 void PeerSelector::Add(const std::string& name) {
-  const std::uint32_t place = state_.random(static_cast<std::uint32_t>(order_.size() + 1));
-  order_.insert(order_.begin() + place, name);
+  const std::uint32_t position = state_.random(static_cast<std::uint32_t>(order_.size() + 1));
+  order_.insert(order_.begin() + position, name);
 }
 
 void PeerSelector::BeginRound() {
@@ -38,27 +39,27 @@
   return std::nullopt;
 }
 
-bool PeerSelector::IsEligible(const std::string& name, Among among) const {
+bool PeerSelector::IsEligible(const std::string& name, Candidates candidates) const {
   const MemberRecord* record = table_.Find(name);
   if (record == nullptr)
     return false;
   if (IsLiving(record->update.state))
     return true;
-  return among == Among::kLivingAndRecentlyDead && record->update.state == State::kDead &&
+  return candidates == Candidates::kLivingAndRecentlyDead && record->update.state == State::kDead &&
          state_.now - record->since < kRecentlyDead;
 }
 
 std::vector<std::string> PeerSelector::RandomPeers(std::size_t count, const std::string& excluded,
-                                                   Among among) {
+                                                   Candidates candidates) {
   std::vector<std::string> peers;
   if (order_.empty())
     return peers;
   const auto add_if_eligible = [&](const std::string& name) {
-    if (name != excluded && IsEligible(name, among) &&
+    if (name != excluded && IsEligible(name, candidates) &&
         std::find(peers.begin(), peers.end(), name) == peers.end())
       peers.push_back(name);
   };
-  // A bounded number of random draws, then the first eligible ones from a random place on.
+  // A bounded number of random draws, then a linear search from a random index.
   const auto size = static_cast<std::uint32_t>(order_.size());
   for (std::size_t draws = 0; draws < kDrawsPerPeer * count && peers.size() < count; ++draws)
     add_if_eligible(order_[state_.random(size)]);
--- a/src/membership/sealer.cpp
+++ b/src/membership/sealer.cpp
@@ -10,25 +10,26 @@
 namespace aldersill::membership {
 namespace {
 
-constexpr unsigned char kFormat = 1;
-constexpr std::size_t kMaxKeys = 2;
+constexpr unsigned char kFormat = 1;  // of the datagram
+constexpr std::size_t kMaxKeys = 2;   // two are needed while a key is replaced
 constexpr int kMaxKeyFileLines = 1'000;
-constexpr std::size_t kHeader = 26;
-constexpr std::size_t kSessionOffset = 2;  // also of the nonce
+constexpr std::size_t kHeaderBytes = 26;
+constexpr std::size_t kSessionOffset = 2;  // the nonce starts here, too
 constexpr std::size_t kCounterOffset = 10;
 constexpr std::size_t kTimeOffset = 18;
-constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
-static_assert(kSealOverhead == kHeader + kTag);
+constexpr std::size_t kTagBytes = crypto_aead_xchacha20poly1305_ietf_ABYTES;
+static_assert(kSealOverhead == kHeaderBytes + kTagBytes);
 static_assert(crypto_aead_xchacha20poly1305_ietf_NPUBBYTES == 24);
 static_assert(crypto_aead_xchacha20poly1305_ietf_KEYBYTES == std::tuple_size_v<Key>);
 
-// Tells keys apart without disclosing them.
+// The key id of a datagram: distinguishes keys without disclosing them.
 unsigned char KeyId(const Key& key) {
   std::array<unsigned char, 16> hash{};
   crypto_generichash(hash.data(), hash.size(), key.data(), key.size(), nullptr, 0);
   return hash[0];
 }
 
+// Numbers are encoded in eight bytes, in big-endian order.
 void AppendNumber(std::string* to, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8)
     to->push_back(static_cast<char>(number >> shift & 0xff));
@@ -53,7 +54,7 @@
 
 Sealer::Sealer(std::vector<Key> keys, std::uint64_t session) : keys_(std::move(keys)), session_(session) {
   if (sodium_init() < 0)
-    throw std::runtime_error("membership: libsodium cannot begin");
+    throw std::runtime_error("membership: libsodium could not be initialized");
 }
 
 void Sealer::ReplaceKeys(std::vector<Key> keys) { keys_ = std::move(keys); }
@@ -63,16 +64,17 @@
   AppendNumber(&out, session_);
   AppendNumber(&out, ++counter_);
   AppendNumber(&out, static_cast<std::uint64_t>(unix_now / kMillisecond));
-  out.resize(kHeader + packet.size() + kTag);
+  out.resize(kHeaderBytes + packet.size() + kTagBytes);
   unsigned long long length = 0;
   auto* bytes = reinterpret_cast<unsigned char*>(out.data());
-  crypto_aead_xchacha20poly1305_ietf_encrypt(bytes + kHeader, &length, Bytes(packet), packet.size(), bytes,
-                                             kHeader, nullptr, bytes + kSessionOffset, keys_.front().data());
+  crypto_aead_xchacha20poly1305_ietf_encrypt(bytes + kHeaderBytes, &length, Bytes(packet), packet.size(),
+                                             bytes, kHeaderBytes, nullptr, bytes + kSessionOffset,
+                                             keys_.front().data());
   return out;
 }
 
 std::optional<std::string> Sealer::Open(Micros unix_now, std::string_view datagram) {
-  if (datagram.size() <= kHeader + kTag)
+  if (datagram.size() <= kHeaderBytes + kTagBytes)
     return Drop(DropReason::kTruncated);
   if (datagram.size() > kMaxDatagram)
     return Drop(DropReason::kTooLong);
@@ -81,9 +83,9 @@
   std::optional<std::string> packet = Decrypt(datagram);
   if (!packet)
     return std::nullopt;
-  const std::uint64_t unix_millis =
+  const std::uint64_t unix_ms =
       std::min<std::uint64_t>(ReadNumber(datagram, kTimeOffset), INT64_MAX / kMillisecond);
-  const Micros sealed_at = static_cast<Micros>(unix_millis) * kMillisecond;
+  const Micros sealed_at = static_cast<Micros>(unix_ms) * kMillisecond;
   if (sealed_at < unix_now - kClockWindow || sealed_at > unix_now + kClockWindow)
     return Drop(DropReason::kStale);
   Session* session = FindOrAddSession(unix_now, ReadNumber(datagram, kSessionOffset));
@@ -96,7 +98,7 @@
 }
 
 std::optional<std::string> Sealer::Decrypt(std::string_view datagram) {
-  std::string packet(datagram.size() - kHeader - kTag, '\0');
+  std::string packet(datagram.size() - kHeaderBytes - kTagBytes, '\0');
   bool known_key = false;
   for (const Key& key : keys_) {
     if (KeyId(key) != static_cast<unsigned char>(datagram[1]))
@@ -104,8 +106,9 @@
     known_key = true;
     unsigned long long length = 0;
     const int result = crypto_aead_xchacha20poly1305_ietf_decrypt(
-        reinterpret_cast<unsigned char*>(packet.data()), &length, nullptr, Bytes(datagram) + kHeader,
-        datagram.size() - kHeader, Bytes(datagram), kHeader, Bytes(datagram) + kSessionOffset, key.data());
+        reinterpret_cast<unsigned char*>(packet.data()), &length, nullptr, Bytes(datagram) + kHeaderBytes,
+        datagram.size() - kHeaderBytes, Bytes(datagram), kHeaderBytes, Bytes(datagram) + kSessionOffset,
+        key.data());
     if (result == 0)
       return packet;
   }
@@ -120,7 +123,7 @@
 Sealer::Session* Sealer::FindOrAddSession(Micros now, std::uint64_t id) {
   if (const auto found = sessions_.find(id); found != sessions_.end())
     return &found->second;
-  // What a forgotten session sealed is stale by now, so it cannot be replayed.
+  // Datagrams of the sessions removed here are stale by now, so they cannot be replayed.
   if (sessions_.size() >= kMaxSessions)
     std::erase_if(sessions_,
                   [now](const auto& item) { return now - item.second.last_received > 3 * kClockWindow; });
@@ -129,7 +132,7 @@
   return &sessions_[id];
 }
 
-// RFC 4303's sliding window, section 3.4.3, one for each sender's session.
+// The sliding window of RFC 4303, section 3.4.3, with one window for each sender's session.
 bool Sealer::MarkSeen(Session* session, std::uint64_t counter) {
   if (session->seen.none())
     session->highest = counter;
@@ -147,7 +150,7 @@
 
 namespace {
 
-// The text of a line of the key file: without its comment and the space around that.
+// Strips the comment and the trailing white space from a line of the key file.
 std::string_view WithoutComment(std::string_view line) {
   line = line.substr(0, line.find('#'));
   return line.substr(0, line.find_last_not_of(" \t\r") + 1);
--- a/src/membership/sealer.h
+++ b/src/membership/sealer.h
@@ -1,10 +1,11 @@
-// Seals and opens datagrams: XChaCha20-Poly1305 under a shared key, with a window against replays. It does no
-// I/O; the caller passes the time.
+// Encrypts and authenticates datagrams with XChaCha20-Poly1305 under a shared key, and rejects replayed
+// datagrams by a sliding window. Does no I/O; the caller passes the time. The layout of a datagram, with
+// lengths in bytes:
 //
 //   format 1 | key id 1 | session 8 | counter 8 | Unix milliseconds 8 | sealed packet | tag 16
 //
-// Everything before the sealed packet is authenticated with it. Session, counter and time are the nonce: the
-// session is random and new at each start, so that no nonce is used twice.
+// The fields before the sealed packet are authenticated together with it. Session, counter and time form the
+// nonce. The session is a new random number at each start, so that no nonce is used twice.
 #ifndef ALDERSILL_SRC_MEMBERSHIP_SEALER_H_
 #define ALDERSILL_SRC_MEMBERSHIP_SEALER_H_
 
@@ -23,54 +24,60 @@
 
 using Key = std::array<unsigned char, 32>;
 
+// Why a received datagram was dropped. Operators see the reason as Name() returns it.
 enum class DropReason {
-  kTruncated,  // too short for the head and the tag
-  kTooLong,
-  kUnknownFormat,    // an unknown format
-  kUnknownKey,       // sealed under no key in force
+  kTruncated,        // too short for the header and the tag
+  kTooLong,          // longer than kMaxDatagram
+  kUnknownFormat,    // the format byte is not known
+  kUnknownKey,       // the key id is not that of a configured key
   kForged,           // the tag does not match: forged or damaged
-  kStale,            // sealed outside kClockWindow
-  kReplayed,         // seen before: replayed, or duplicated by the network
-  kTooManySessions,  // beyond the bound on senders
+  kStale,            // sealing time differs from the local time by more than kClockWindow
+  kReplayed,         // counter already seen (replayed, or duplicated by the network) or too far behind
+  kTooManySessions,  // the limit of sender sessions is reached
   kMalformed,        // authentic, but not a packet of this version
-  kCount
+  kCount             // number of reasons
 };
 const char* Name(DropReason reason);
 
-constexpr std::size_t kSealOverhead = 26 + 16;
-constexpr std::size_t kMaxDatagram = 8'192;  // longer ones are dropped unread
-// The greatest difference of two members' clocks, network delay included.
+constexpr std::size_t kSealOverhead = 26 + 16;  // bytes of the header and the tag
+constexpr std::size_t kMaxDatagram = 8'192;     // bytes; longer datagrams are dropped without decryption
+// The maximum difference between two members' clocks, including the network delay.
 constexpr Micros kClockWindow = 30 * kSecond;
 
 class Sealer {
  public:
-  // `session`: random, new at each start. The first key seals; every key, two at most, opens. Throws
-  // std::runtime_error if libsodium cannot be initialized.
+  // `session` must be a new random number at each start. Datagrams are sealed with the first key and opened
+  // with any of the keys, at most two. Throws std::runtime_error if libsodium cannot be initialized.
   Sealer(std::vector<Key> keys, std::uint64_t session);
 
   void ReplaceKeys(std::vector<Key> keys);
+  // Returns the datagram for an encoded packet.
   std::string Seal(Micros unix_now, std::string_view packet);
-  // The packet; no value if the datagram is dropped, which is counted by its reason.
+  // Returns the encoded packet; no value if the datagram is dropped, which is counted under its reason.
   std::optional<std::string> Open(Micros unix_now, std::string_view datagram);
+  // Counts a datagram that was opened but could not be decoded.
   void CountMalformed() { ++dropped_[static_cast<std::size_t>(DropReason::kMalformed)]; }
+  // Number of dropped datagrams, by reason.
   const std::array<std::uint64_t, static_cast<std::size_t>(DropReason::kCount)>& dropped() const {
     return dropped_;
   }
 
  private:
-  static constexpr std::size_t kReplayWindow = 256;  // by how many datagrams one may be overtaken
+  static constexpr std::size_t kReplayWindow = 256;  // datagrams by which one may arrive out of order
   static constexpr std::size_t kMaxSessions = 4'096;
+  // The replay window of one process of a sender.
   struct Session {
-    std::uint64_t highest = 0;
-    std::bitset<kReplayWindow> seen;  // [0]: the highest counter
+    std::uint64_t highest = 0;        // highest counter received
+    std::bitset<kReplayWindow> seen;  // bit i: whether counter `highest - i` was received
     Micros last_received = 0;
   };
+  // Counts the reason and returns no value.
   std::optional<std::string> Drop(DropReason reason);
-  // Opens with the keys in force; no value, counted, if none of them authenticates the datagram.
+  // Decrypts with the configured keys. Returns no value, counted, if none authenticates the datagram.
   std::optional<std::string> Decrypt(std::string_view datagram);
-  // The session's window; null if there are too many sessions.
+  // Returns null if the limit of sessions is reached.
   Session* FindOrAddSession(Micros now, std::uint64_t id);
-  // False if the counter was seen before or is too far behind.
+  // Returns false if the counter was seen before or is behind the window.
   static bool MarkSeen(Session* session, std::uint64_t counter);
 
   std::vector<Key> keys_;
@@ -80,9 +87,9 @@
   std::array<std::uint64_t, static_cast<std::size_t>(DropReason::kCount)> dropped_{};
 };
 
-// Reads a key file: one or two lines of 64 hex digits; `#` begins a comment. The file must be accessible to
-// its owner alone. Throws std::runtime_error with one line that names path and line but shows nothing of a
-// key.
+// Reads a key file: one or two lines of 64 hex digits each; `#` starts a comment. Only the file's owner may
+// have access to it. Throws std::runtime_error with a one-line message that names the path and the line but
+// contains no part of a key.
 std::vector<Key> ReadKeys(const std::string& path);
 
 }  // namespace aldersill::membership
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -19,12 +19,12 @@
 namespace aldersill::membership {
 namespace {
 
-// Datagrams received in one turn of the loop: other events must not wait for a flood.
-constexpr int kMaxDatagramsPerTurn = 64;
+// Limit of datagrams received per iteration of the event loop, so that a flood does not delay other events.
+constexpr int kMaxDatagramsPerIteration = 64;
 
 std::uint64_t NewSession() {
   if (sodium_init() < 0)
-    throw std::runtime_error("membership: libsodium cannot begin");
+    throw std::runtime_error("membership: libsodium could not be initialized");
   std::uint64_t session = 0;
   randombytes_buf(&session, sizeof(session));
   return session;
@@ -73,20 +73,20 @@
 
 void Transport::OnReadable(evutil_socket_t, short, void* self) {
   auto* transport = static_cast<Transport*>(self);
-  for (int received = 0; received < kMaxDatagramsPerTurn; ++received) {
+  for (int received = 0; received < kMaxDatagramsPerIteration; ++received) {
     if (!transport->ReceiveOne())
       return;
   }
 }
 
 bool Transport::ReceiveOne() {
-  std::array<char, kMaxDatagram + 1> bytes;  // one more byte shows that a datagram is too long
+  std::array<char, kMaxDatagram + 1> bytes;  // the extra byte reveals a datagram that is too long
   sockaddr_in peer{};
   socklen_t size = sizeof(peer);
   const ssize_t length =
       recvfrom(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&peer), &size);
-  // Another error than an empty queue reports an earlier datagram that met a closed port: it is cleared by
-  // now.
+  // Any error other than an empty queue reports that an earlier datagram was sent to a closed port. Reading
+  // the error has cleared it, so receiving continues.
   if (length < 0)
     return errno != EAGAIN && errno != EWOULDBLOCK;
   ++counters_.received;
