--- a/src/budgets/quota_allocator.cpp
+++ b/src/budgets/quota_allocator.cpp
@@ -39,7 +39,7 @@
     const Budget& b = settings_.budgets[i];
     books_[i] = Book{};
     books_[i].window = WindowAt(b, now_);
-#ifndef ALDERSILL_PLANT_DEALS_AT_ONCE  // the defect that the search must find (tests/budgets)
+#ifndef ALDERSILL_MUTANT_NO_LEARNING_PERIOD  // injected fault that budgets_search must detect
     if (b.kind == Kind::kAmount) {
       // Its predecessor's clock may have been ahead, and the window a later one there.
       books_[i].learning_until = static_cast<Micros>(WindowAt(b, now_ + settings_.most_apart) + 1) * b.window;
@@ -100,7 +100,7 @@
     // was granted may have been used.
     const Key before{name, member->epoch};
     for (std::size_t i = 0; i < books_.size(); ++i) {
-#ifdef ALDERSILL_PLANT_FORGETS_LIVES
+#ifdef ALDERSILL_MUTANT_FORGOTTEN_EPOCH  // injected fault that budgets_search must detect
       Count(&books_[i], before, 0, kNever);
 #else
       if (settings_.budgets[i].kind == Kind::kRate)
@@ -116,7 +116,7 @@
 }
 
 void QuotaAllocator::On(const QuotaRequestReceived& e) {
-#ifdef ALDERSILL_PLANT_ACTS_UNASKED
+#ifdef ALDERSILL_MUTANT_NO_LEASE_CHECK  // injected fault that budgets_search must detect
   const bool holds = term_.has_value();
 #else
   const bool holds = term_ && e.held == term_;
@@ -128,7 +128,7 @@
   const QuotaRequest& ask = e.ask;
   Member& member = members_[e.from];
   if (ask.epoch < member.epoch || (ask.epoch == member.epoch && ask.number <= member.number)) {
-#ifndef ALDERSILL_PLANT_BELIEVES_LATE
+#ifndef ALDERSILL_MUTANT_STALE_REQUEST  // injected fault that budgets_search must detect
     ++counters_.stale;
     return;
 #endif
@@ -170,7 +170,7 @@
     return answer;  // of an amount: by clocks that differ, just before or after
   const Units shown_share = std::max<Units>(0, line.share);
   const Units shown = std::max({shown_share, line.beyond, Units{0}});
-#ifdef ALDERSILL_PLANT_GIVES_FIRST
+#ifdef ALDERSILL_MUTANT_GRANT_BEFORE_RECLAIM  // injected fault that budgets_search must detect
   const Units others = 0;
   Units before = 0;
   for (const auto& [name, m] : members_)
--- a/src/budgets/quota_client.cpp
+++ b/src/budgets/quota_client.cpp
@@ -53,7 +53,7 @@
 Units QuotaClient::FallbackQuotaNow(const Budget& b, Micros now) const {
   if (settings_.seat > settings_.instances || left_)
     return 0;
-#ifdef ALDERSILL_PLANT_FALLBACK_TWICE  // the defect that the search must find (tests/budgets)
+#ifdef ALDERSILL_MUTANT_DOUBLE_FALLBACK  // injected fault that budgets_search must detect
   static_cast<void>(now);
 #else
   // What the seat's former life took of it may be in use still, or used in this window.
@@ -127,7 +127,7 @@
   const Budget& b = settings_.budgets[i];
   BudgetState& p = states_[i];
   p.attempts += count;
-#ifdef ALDERSILL_PLANT_CHECKS_NO_END
+#ifdef ALDERSILL_MUTANT_EXPIRED_GRANT  // injected fault that budgets_search must detect
   const bool granted = true;
 #else
   const bool granted = now_ < until_;
@@ -278,7 +278,7 @@
   const QuotaGrant& a = e.answer;
   // Only the answer to the last ask: what was shown by it is still all that there is. (An answer to an
   // earlier one may give back what has been shown as given up since, and is another's by now.)
-#ifdef ALDERSILL_PLANT_ANY_ANSWER
+#ifdef ALDERSILL_MUTANT_OUTDATED_GRANT  // injected fault that budgets_search must detect
   const bool last = a.number <= number_;
 #else
   const bool last = a.number == number_ && !answered_;
@@ -287,7 +287,7 @@
     ++counters_.stale;
     return;
   }
-#ifdef ALDERSILL_PLANT_NO_MARGIN
+#ifdef ALDERSILL_MUTANT_NO_DRIFT_MARGIN  // injected fault that budgets_search must detect
   const double margin = 0.0;
 #else
   const double margin = 2.0 * settings_.most_drift;
@@ -300,7 +300,7 @@
     const QuotaGrantLine& line = a.lines[i];
     const Units before = had ? p.share : 0;
     Units share = line.window == p.window ? std::max<Units>(0, line.share) : 0;
-#ifndef ALDERSILL_PLANT_RENEWS_ENDED
+#ifndef ALDERSILL_MUTANT_RENEWED_EXPIRED_SHARE  // injected fault
     // The holder knows it only from what was shown: where that has ended since, it may be another's.
     if (line.renewal)
       share = std::min(share, before);
--- a/src/core/attempt_controller.cpp
+++ b/src/core/attempt_controller.cpp
@@ -199,7 +199,7 @@
   const auto found = attempts_.find(id);
   if (found == attempts_.end())
     return;
-#ifdef ALDERSILL_PLANT_LOST_NEVER_RAN  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_LOST_AS_CONNECT_FAILED  // injected fault that fleet_search must detect
   if (ending.outcome == Outcome::kLost)
     ending.outcome = Outcome::kConnectFailed;
 #endif
@@ -228,7 +228,7 @@
   if (!attempt.sent)
     env_.context.Emit(ClearTimer{.key = SendDeadlineTimer(id)});
   env_.context.Emit(ClearTimer{.key = GiveUpTimer(id)});
-#ifdef ALDERSILL_PLANT_NEVER_STOPS  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_NO_ATTEMPT_STOP  // injected fault that fleet_search must detect
   return;
 #endif
   if (ending.stop)
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -42,7 +42,7 @@
 WorkerList EndpointTable::Store(EndpointListUpdate&& update) {
   WorkerList changes{.form = WorkerList::Form::kDelta, .workers = {}};
   for (WorkerEndpoint& entry : update.workers) {
-#ifdef ALDERSILL_PLANT_DEAF_TO_DRAINS  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_IGNORED_DRAIN  // injected fault that fleet_search must detect
     entry.state = WorkerEndpoint::State::kReady;
 #endif
     entry.source = update.source;
@@ -84,7 +84,7 @@
 }
 
 bool EndpointTable::Apply(EndpointListLease lease) {
-#ifdef ALDERSILL_PLANT_OLD_LISTS_TRUSTED  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_NO_LIST_EXPIRY  // injected fault that fleet_search must detect
   lease.remaining = EndpointListLease::kForEver;
 #endif
   valid_until_ = context_.now + std::clamp<Micros>(lease.remaining, 0, EndpointListLease::kForEver);
@@ -159,7 +159,7 @@
                               .zone = worker.zone,
                               .cell = worker.cell,
                               .since = worker.started};
-#ifdef ALDERSILL_PLANT_COLD_FOR_WARM  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_UNKNOWN_WORKER_START  // injected fault that fleet_search must detect
   entry.since = 0;
 #endif
   return entry;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -86,7 +86,7 @@
 }
 
 void RequestLifecycle::Apply(const ClientLeft& left) {
-#ifdef ALDERSILL_PLANT_LEAVING_UNTOLD  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_IGNORED_CLIENT_LEAVING  // injected fault that fleet_search must detect
   return;
 #endif
   const auto id = env_.requests.FindWaiting(left.client);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -265,7 +265,7 @@
 }
 
 void Daemon::StopIfDrained() {
-#ifdef ALDERSILL_PLANT_HASTY_END  // a deliberate defect that the fleet search must find
+#ifdef ALDERSILL_MUTANT_EXIT_WITHOUT_DRAIN  // injected fault that fleet_search must detect
   return static_cast<void>(event_base_loopbreak(base_.get()));
 #endif
   if (!IsIdle() || Now() - drain_began_at_ < kMinDrain) {
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -169,7 +169,7 @@
 }
 
 void Lease::HoldUntil(Micros until) {
-#ifdef ALDERSILL_PLANT_ENDLESS_LEASE  // a deliberate defect that fleet_search must find
+#ifdef ALDERSILL_MUTANT_LEASE_OVERRUN  // injected fault that fleet_search must detect
   held_until_ = until + 60 * kSecond;
 #else
   held_until_ = until;
--- a/src/duties/lease_acceptor.cpp
+++ b/src/duties/lease_acceptor.cpp
@@ -5,7 +5,7 @@
 namespace aldersill::duties {
 
 void LeaseAcceptor::Start([[maybe_unused]] Micros now) {
-#ifndef ALDERSILL_PLANT_HASTY_VOTER  // a deliberate defect that cluster_search must find
+#ifndef ALDERSILL_MUTANT_EARLY_VOTE  // injected fault that cluster_search must detect
   // Longer than any lease that the previous process can have accepted, even if this member's clock is the
   // fastest and the holder's clock the slowest.
   silent_until_ =
--- a/src/http/connection_table.cpp
+++ b/src/http/connection_table.cpp
@@ -32,7 +32,7 @@
 }
 
 ClientConnection* ConnectionTable::FindEvictable(Micros now) const {
-#ifdef ALDERSILL_PLANT_CROWDED_OUT  // a deliberate defect: fleet_finds_crowded_out must detect it
+#ifdef ALDERSILL_MUTANT_NO_IDLE_EVICTION  // injected fault that fleet_search must detect
   return nullptr;
 #endif
   ClientConnection* evictable = nullptr;
--- a/src/http/drain_schedule.cpp
+++ b/src/http/drain_schedule.cpp
@@ -7,7 +7,7 @@
 
 // SIGKILL comes no sooner than kKillDelay and the longest deadline, which counts as kMaxCountedDeadline at
 // most, after SIGTERM.
-#ifdef ALDERSILL_PLANT_LATE_DRAIN  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_LATE_KILL_ESTIMATE  // injected fault that fleet_search must detect
 constexpr Micros kKillDelay = 3'700 * kMillisecond;
 #else
 constexpr Micros kKillDelay = 700 * kMillisecond;
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -127,7 +127,7 @@
 }
 
 void HttpFrontend::RespondToReadinessCheck(ClientConnection* connection) {
-#ifdef ALDERSILL_PLANT_READY_LATE  // a deliberate defect: fleet_finds_ready_late must detect it
+#ifdef ALDERSILL_MUTANT_LATE_READINESS  // injected fault that fleet_search must detect
   static const Micros since = SteadyNow();
   if (SteadyNow() < since + 12 * kSecond)
     return connection->Respond({.status = 503, .body = "not ready\n", .headers = ""});
--- a/src/http/watch_scheduler.cpp
+++ b/src/http/watch_scheduler.cpp
@@ -42,7 +42,7 @@
 }
 
 void WatchScheduler::LimitByReload(Micros reloaded_at) {
-#ifdef ALDERSILL_PLANT_RELOAD_UNBOUNDED  // planted where a search must find it
+#ifdef ALDERSILL_MUTANT_NO_RELOAD_BOUND  // injected fault that fleet_search must detect
   return;
 #endif
   reload_bound_ = std::min(reload_bound_, reloaded_at + kReloadNotificationBound - kMaxSignalDelay);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -245,7 +245,7 @@
 }
 
 void Membership::Refute(const Incarnation& reported) {
-#ifndef ALDERSILL_PLANT_NO_REFUTATION  // a deliberate defect that cluster_search must find
+#ifndef ALDERSILL_MUTANT_NO_REFUTATION  // injected fault that cluster_search must detect
   state_.incarnation.number = std::max(state_.incarnation.number, reported.number) + 1;
   ++state_.counters.refutations;
   state_.health.Worsen(1);
--- a/tests/fleet/checker_test.cpp
+++ b/tests/fleet/checker_test.cpp
@@ -88,13 +88,13 @@
   return "";
 }
 
-TEST_CASE("a good run breaks no rule, and each planted defect is found") {
+TEST_CASE("a good run breaks no rule, and each injected violation is found") {
   CHECK(FirstViolation(Good("cobro")) == "");
   const struct {
     const char* rule;
-    std::size_t at;  // where the defect is put into the good run
-    Observation planted;
-  } defects[] = {
+    std::size_t at;  // position in the good run at which the observation is inserted
+    Observation inserted;
+  } violations[] = {
       {"answered twice", 8, Answer("a", 503)},
       {"cobro ran twice", 5, Seen(Kind::kJobStarted, "a")},
       {"two attempts open at once", 2, Attempt("a", 9)},
@@ -102,11 +102,11 @@
       {"attempted without a client's request", 8, Attempt("b", 9)},
       {"never answered", 0, Sent("c", "cobro")},
   };
-  for (const auto& defect : defects) {
-    CAPTURE(defect.rule);
+  for (const auto& violation : violations) {
+    CAPTURE(violation.rule);
     Observations run = Good("cobro");
-    run.insert(run.begin() + static_cast<std::ptrdiff_t>(defect.at), defect.planted);
-    CHECK(FirstViolation(run) == std::string(defect.rule) + ": " + defect.planted.request);
+    run.insert(run.begin() + static_cast<std::ptrdiff_t>(violation.at), violation.inserted);
+    CHECK(FirstViolation(run) == std::string(violation.rule) + ": " + violation.inserted.request);
   }
   Observations run = Good("cobro");
   run.back().text = "made up";
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -28,7 +28,7 @@
   std::string deployment = "both";
   std::string timetable_file;
   std::string program = ALDERSILL_PROGRAM;
-  bool planted = false;
+  bool expect_violation = false;
   bool soak = false;
   std::string rule;
   bool reduce = true;
@@ -50,9 +50,10 @@
   app->add_option("--timetable", options->timetable_file, "run this one instead, in YAML")
       ->check(CLI::ExistingFile);
   app->add_option("--program", options->program, "the dispatcher's program")->check(CLI::ExistingFile);
-  app->add_flag("--planted", options->planted,
-                "the program has a planted defect: fail unless a rule is broken within the seeds");
-  app->add_option("--rule", options->rule, "with --planted: a rule must be broken whose line contains this");
+  app->add_flag("--expect-violation", options->expect_violation,
+                "the program has an injected fault: fail unless a rule is broken within the seeds");
+  app->add_option("--rule", options->rule,
+                  "with --expect-violation: a rule must be broken whose line contains this");
   app->add_flag("--soak", options->soak,
                 "soak runs: restarts up to SIGKILL, reloads in series, clients on open connections");
   app->add_flag("!--whole", options->reduce, "do not reduce a failing timetable");
@@ -154,7 +155,7 @@
     PrintViolations(outcome);
     std::fflush(stdout);
     const std::vector<std::string>& violations = outcome.verdict.violations;
-    if (options.planted) {
+    if (options.expect_violation) {
       const auto is_wanted = [&](const std::string& line) {
         return line.find(options.rule) != std::string::npos;
       };
@@ -166,7 +167,7 @@
       return kRuleBroken;
     }
   }
-  return options.planted ? kRuleBroken : kRulesHeld;
+  return options.expect_violation ? kRuleBroken : kRulesHeld;
 }
 
 }  // namespace
--- a/tests/support/seed_search.h
+++ b/tests/support/seed_search.h
@@ -20,17 +20,18 @@
   std::function<std::string()> summary;
 };
 
-// The exit status: 0 if no seed broke a promise or, with --planted, if one did.
+// The exit status: 0 if no seed broke a promise or, with --expect-violation, if one did.
 inline int RunSeedSearch(int argc, char** argv, const SeedSearch& search) {
   CLI::App app(search.description);
   std::uint64_t first = 1;
   std::uint64_t count = 100;
   std::optional<std::uint64_t> single_seed;
-  bool planted = false;
+  bool expect_violation = false;
   app.add_option("--first", first, "The first seed");
   app.add_option("--count", count, "How many");
   app.add_option("--seed", single_seed, "Plays this one and prints what happens");
-  app.add_flag("--planted", planted, "A defect is built in: succeed if it is found");
+  app.add_flag("--expect-violation", expect_violation,
+               "The program has an injected fault: succeed if a seed breaks a promise");
   CLI11_PARSE(app, argc, argv);
   if (single_seed) {
     first = *single_seed;
@@ -43,14 +44,14 @@
       continue;
     ++failed;
     std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), broken.c_str());
-    if (planted)
+    if (expect_violation)
       break;
   }
   std::printf("%llu seeds from %llu: %llu broke a promise; %s\n", static_cast<unsigned long long>(count),
               static_cast<unsigned long long>(first), static_cast<unsigned long long>(failed),
               search.summary().c_str());
   const bool found = failed > 0;
-  return found == planted ? 0 : 1;
+  return found == expect_violation ? 0 : 1;
 }
 
 }  // namespace aldersill::tests
