--- a/src/budgets/codec.cpp
+++ b/src/budgets/codec.cpp
@@ -5,53 +5,76 @@
 namespace aldersill::budgets {
 namespace {
 
-void Put(MessagePacker& out, const QuotaRequest& m) {
+void Put(MessagePacker& out, const QuotaRequest& request) {
   out.pack_array(7);
-  out.pack(0), out.pack(m.epoch), out.pack(m.number), out.pack(m.digest), out.pack(m.weight),
-      out.pack(m.leaving);
-  out.pack_array(static_cast<std::uint32_t>(m.lines.size()));
-  for (const QuotaRequestLine& line : m.lines) {
+  out.pack(0);
+  out.pack(request.epoch);
+  out.pack(request.number);
+  out.pack(request.digest);
+  out.pack(request.weight);
+  out.pack(request.leaving);
+  out.pack_array(static_cast<std::uint32_t>(request.lines.size()));
+  for (const QuotaRequestLine& line : request.lines) {
     out.pack_array(4);
-    out.pack(line.demand), out.pack(line.share), out.pack(line.beyond), out.pack(line.window);
+    out.pack(line.demand);
+    out.pack(line.share);
+    out.pack(line.used_above_fallback);
+    out.pack(line.window);
   }
 }
 
-void Put(MessagePacker& out, const QuotaGrant& m) {
+void Put(MessagePacker& out, const QuotaGrant& grant) {
   out.pack_array(6);
-  out.pack(1), out.pack(m.term), out.pack(m.epoch), out.pack(m.number), out.pack(m.lasts);
-  out.pack_array(static_cast<std::uint32_t>(m.lines.size()));
-  for (const QuotaGrantLine& line : m.lines) {
+  out.pack(1);
+  out.pack(grant.term);
+  out.pack(grant.epoch);
+  out.pack(grant.number);
+  out.pack(grant.duration);
+  out.pack_array(static_cast<std::uint32_t>(grant.lines.size()));
+  for (const QuotaGrantLine& line : grant.lines) {
     out.pack_array(3);
-    out.pack(line.share), out.pack(line.window), out.pack(line.renewal);
+    out.pack(line.share);
+    out.pack(line.window);
+    out.pack(line.renewal);
   }
 }
 
-// Shares are summed up: none may be negative, or so great that a few of them overflow.
-Units TakeUnits(MessageFields& in) { return static_cast<Units>(in.Number53()); }
+// Rejects negative quantities and those above 53 bits: quantities are added up, and the sum must not
+// overflow.
+Units ReadUnits(MessageFields& in) { return static_cast<Units>(in.Number53()); }
 
-QuotaRequest TakeAsk(MessageFields& in) {
-  QuotaRequest m;
-  m.epoch = in.Number53(), m.number = in.Number53(), m.digest = in.Take<std::uint64_t>();
-  m.weight = in.Take<std::uint32_t>(), m.leaving = in.Take<bool>();
-  m.lines = in.List<QuotaRequestLine>([](MessageFields& item) {
+QuotaRequest ReadQuotaRequest(MessageFields& in) {
+  QuotaRequest request;
+  request.epoch = in.Number53();
+  request.number = in.Number53();
+  request.digest = in.Take<std::uint64_t>();
+  request.weight = in.Take<std::uint32_t>();
+  request.leaving = in.Take<bool>();
+  request.lines = in.List<QuotaRequestLine>([](MessageFields& item) {
     QuotaRequestLine line;
-    line.demand = TakeUnits(item), line.share = TakeUnits(item), line.beyond = TakeUnits(item);
+    line.demand = ReadUnits(item);
+    line.share = ReadUnits(item);
+    line.used_above_fallback = ReadUnits(item);
     line.window = item.Take<std::uint64_t>();
     return line;
   });
-  return m;
+  return request;
 }
 
-QuotaGrant TakeAnswer(MessageFields& in) {
-  QuotaGrant m;
-  m.term = in.Number53(), m.epoch = in.Number53(), m.number = in.Number53();
-  m.lasts = TakeUnits(in);
-  m.lines = in.List<QuotaGrantLine>([](MessageFields& item) {
+QuotaGrant ReadQuotaGrant(MessageFields& in) {
+  QuotaGrant grant;
+  grant.term = in.Number53();
+  grant.epoch = in.Number53();
+  grant.number = in.Number53();
+  grant.duration = ReadUnits(in);
+  grant.lines = in.List<QuotaGrantLine>([](MessageFields& item) {
     QuotaGrantLine line;
-    line.share = TakeUnits(item), line.window = item.Take<std::uint64_t>(), line.renewal = item.Take<bool>();
+    line.share = ReadUnits(item);
+    line.window = item.Take<std::uint64_t>();
+    line.renewal = item.Take<bool>();
     return line;
   });
-  return m;
+  return grant;
 }
 
 }  // namespace
@@ -65,12 +88,12 @@
     MessageFields in(object);
     const auto kind = in.Take<std::uint32_t>();
     if (kind > 1)
-      throw std::runtime_error("not a kind");
+      throw std::runtime_error("the kind of a budget message must be 0 (request) or 1 (grant)");
     Message message;
     if (kind == 0) {
-      message = TakeAsk(in);
+      message = ReadQuotaRequest(in);
     } else {
-      message = TakeAnswer(in);
+      message = ReadQuotaGrant(in);
     }
     in.End();
     return message;
--- a/src/budgets/codec.h
+++ b/src/budgets/codec.h
@@ -1,4 +1,5 @@
-// What of budgets goes between instances, as bytes: MessagePack arrays without names, a kind first.
+// Encodes the messages between quota clients and the quota allocator as MessagePack arrays without field
+// names, with the kind of the message as the first element.
 #ifndef ALDERSILL_SRC_BUDGETS_CODEC_H_
 #define ALDERSILL_SRC_BUDGETS_CODEC_H_
 
@@ -14,7 +15,7 @@
 using Message = std::variant<QuotaRequest, QuotaGrant>;
 
 std::string Encode(const Message& message);
-// Nothing where the bytes are not a message, to the last of them.
+// Returns nothing unless `bytes` is exactly one valid message.
 std::optional<Message> Decode(std::string_view bytes);
 
 }  // namespace aldersill::budgets
--- a/src/budgets/division.cpp
+++ b/src/budgets/division.cpp
@@ -18,7 +18,8 @@
     wants[i] = std::max(static_cast<double>(std::max<Units>(0, claims[i].demand)),
                         static_cast<double>(floors) * claims[i].weight / weights);
   }
-  // From the smallest want a weight upwards: whoever wants less than the level has all of it.
+  // Serves the claims in ascending order of want per weight, so that each claim below the fair level gets all
+  // that it wants.
   std::vector<std::size_t> order(claims.size());
   std::iota(order.begin(), order.end(), 0);
   std::erase_if(order, [&](std::size_t i) { return claims[i].weight == 0; });
@@ -34,15 +35,19 @@
   }
   Units given = 0;
   for (const std::size_t i : order) {
-    // Less a thousandth of a unit at most: what rounding up would add could bring the sum above the whole.
+    // Rounds down, because rounding up could raise the sum above `total`. The 1e-6 units make up for
+    // floating-point errors just below a whole number.
     shares[i] = static_cast<Units>(std::floor(exact[i] + left * claims[i].weight / weights + 1e-6));
     shares[i] = std::min(shares[i], total - given);
     given += shares[i];
   }
-  // What rounding left over, one by one to who wants it, the largest want first.
+  // Distributes the units left over by rounding, one for each claim whose share is below its want, the
+  // largest want per weight first.
   for (auto at = order.rbegin(); at != order.rend() && given < total; ++at) {
-    if (static_cast<double>(shares[*at]) < wants[*at])
-      ++shares[*at], ++given;
+    if (static_cast<double>(shares[*at]) < wants[*at]) {
+      ++shares[*at];
+      ++given;
+    }
   }
   return shares;
 }
--- a/src/budgets/division.h
+++ b/src/budgets/division.h
@@ -1,5 +1,5 @@
-// Weighted max-min: nobody gets more than it wants while another, in proportion to its weight, has less and
-// wants more.
+// Divides a budget by weighted max-min fairness: no claim gets more than it demands while another claim has
+// less in proportion to its weight and demands more.
 #ifndef ALDERSILL_SRC_BUDGETS_DIVISION_H_
 #define ALDERSILL_SRC_BUDGETS_DIVISION_H_
 
@@ -15,9 +15,9 @@
   std::uint32_t weight = 100;
 };
 
-// One share for each claim; their sum is never above `whole`. Each has at least its part by weight of
-// `floors` (for who has just come, and has had no chance to show a demand). What nobody wants is divided by
-// weight.
+// Returns one share for each claim; the sum of the shares is at most `total`. Each claim counts as demanding
+// at least its part of `floors` by weight, for instances that have just joined and could not show a demand
+// yet. What remains after all demands are met is divided by weight. A claim of weight 0 gets nothing.
 std::vector<Units> Divide(Units total, Units floors, const std::vector<Claim>& claims);
 
 }  // namespace aldersill::budgets
--- a/src/budgets/errors.h
+++ b/src/budgets/errors.h
@@ -1,4 +1,4 @@
-// What can be wrong with a budget, each with a code that stays and what an operator can do about it.
+// The errors of the budgets. Each has a stable name for logs and alarms, and a remedy for the operator.
 #ifndef ALDERSILL_SRC_BUDGETS_ERRORS_H_
 #define ALDERSILL_SRC_BUDGETS_ERRORS_H_
 
@@ -8,13 +8,13 @@
 namespace aldersill::budgets {
 
 enum class ErrorCode : std::uint8_t {
-  // A refusal of one act.
+  // Refusals by QuotaClient::Take.
   kUnknown,  // no budget of that name
-  kUsedUp,   // what is granted is in use
-  kNoGrant,  // only the careful share is left, and it is in use
-  kNoSeat,   // no grant, and above the stated number of instances: nothing at all
-  kLeaving,  // this instance gave everything back
-  // Settings.
+  kUsedUp,   // the grant is in use
+  kNoGrant,  // without a grant there is only the fallback quota, and it is in use
+  kNoSeat,   // no grant, and no fallback quota because the seat is above `instances`
+  kLeaving,  // this instance has released its quota
+  // Invalid settings.
   kBadTotal,
   kBadBurst,
   kBadWindow,
@@ -25,18 +25,19 @@
   kBadGrant,
   kBadDrift,
   kSameName,
-  // Between instances.
+  // Differences between instances.
   kSettingsDiffer,
 };
 
-// Short, stable, for logs and alarms: "budget.no_grant".
+// The stable name for logs and alarms, such as "budget.no_grant".
 const char* Name(ErrorCode code);
-// One sentence for who has to deal with it.
+// A sentence that tells the operator what to do about the error.
 const char* Remedy(ErrorCode code);
 
 struct Error {
   ErrorCode code = ErrorCode::kUnknown;
   std::string subject;  // a budget, a field ("budgets.mail.burst") or an instance
+  // "NAME: SUBJECT: REMEDY", for logs.
   std::string text() const { return std::string(Name(code)) + ": " + subject + ": " + Remedy(code); }
 };
 
--- a/src/budgets/quota_allocator.cpp
+++ b/src/budgets/quota_allocator.cpp
@@ -9,15 +9,19 @@
 namespace {
 
 constexpr Micros kNever = INT64_MAX;
-constexpr Micros kDivideEach = 100 * kMillisecond;  // at most so often, whatever comes in
-constexpr Units kFloorsPart = 100;                  // of what is dealt, for who shows no demand
-constexpr double kHeadroom = 1.03;                  // over what is demanded, also where others want more
-constexpr double kNoise = 0.05;                     // a share is not moved by less than this part of it
+// The shortest time between two divisions.
+constexpr Micros kMinDivideInterval = 100 * kMillisecond;
+// 1/100 of what can be granted is the sum of the floors, for instances that report no demand.
+constexpr Units kFloorDivisor = 100;
+// A factor on the reported demand, applied even if other instances demand more.
+constexpr double kHeadroom = 1.03;
+// A share that would change by at most this fraction stays as it is.
+constexpr double kMinRelativeChange = 0.05;
 
 }  // namespace
 
 QuotaAllocator::QuotaAllocator(Settings settings)
-    : settings_(std::move(settings)), digest_(Digest(settings_)), books_(settings_.budgets.size()) {}
+    : settings_(std::move(settings)), digest_(Digest(settings_)), ledgers_(settings_.budgets.size()) {}
 
 void QuotaAllocator::Handle(Micros now, QuotaAllocatorEvent event,
                             std::vector<QuotaAllocatorEffect>* effects) {
@@ -28,25 +32,27 @@
 }
 
 bool QuotaAllocator::Learning(std::size_t budget, Micros now) const {
-  return !term_ || now < books_[budget].learning_until;
+  return !term_ || now < ledgers_[budget].learning_until;
 }
 
 void QuotaAllocator::On(const TermBegan& e) {
-  // Also where this instance held it before: others may have dealt since.
+  // Forgets everything, even if this instance was the holder before: others may have granted shares since.
   term_ = e.term;
   members_.clear();
-  for (std::size_t i = 0; i < books_.size(); ++i) {
+  for (std::size_t i = 0; i < ledgers_.size(); ++i) {
     const Budget& b = settings_.budgets[i];
-    books_[i] = Book{};
-    books_[i].window = WindowAt(b, now_);
+    ledgers_[i] = Ledger{};
+    ledgers_[i].window = WindowAt(b, now_);
 #ifndef ALDERSILL_MUTANT_NO_LEARNING_PERIOD  // injected fault that budgets_search must detect
     if (b.kind == Kind::kAmount) {
-      // Its predecessor's clock may have been ahead, and the window a later one there.
-      books_[i].learning_until = static_cast<Micros>(WindowAt(b, now_ + settings_.most_apart) + 1) * b.window;
+      // The predecessor's clock may have been ahead by up to max_clock_skew, and so in a later window
+      // already.
+      ledgers_[i].learning_until =
+          static_cast<Micros>(WindowAt(b, now_ + settings_.max_clock_skew) + 1) * b.window;
     } else {
-      books_[i].learning_until =
-          now_ + settings_.grant +
-          static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
+      ledgers_[i].learning_until =
+          now_ + settings_.grant_duration +
+          static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.max_clock_drift));
     }
 #endif
   }
@@ -57,61 +63,63 @@
 void QuotaAllocator::On(const TermEnded&) { term_.reset(); }
 
 void QuotaAllocator::CatchUp() {
-  for (std::size_t i = 0; i < books_.size(); ++i) {
-    Book& book = books_[i];
-    if (const std::uint64_t window = WindowAt(settings_.budgets[i], now_); window != book.window) {
-      const Micros learning_until = book.learning_until;
-      book = Book{};
-      book.window = window, book.learning_until = learning_until;
+  for (std::size_t i = 0; i < ledgers_.size(); ++i) {
+    Ledger& ledger = ledgers_[i];
+    if (const std::uint64_t window = WindowAt(settings_.budgets[i], now_); window != ledger.window) {
+      const Micros learning_until = ledger.learning_until;
+      ledger = Ledger{};
+      ledger.window = window;
+      ledger.learning_until = learning_until;
       for (auto& [name, member] : members_)
         member.lines[i].demand = member.lines[i].target = 0;
       changed_ = true;
     }
-    while (!book.ends.empty() && book.ends.begin()->first <= now_) {
-      const Key key = book.ends.begin()->second;
-      Count(&book, key, 0, kNever);
+    while (!ledger.expiries.empty() && ledger.expiries.begin()->first <= now_) {
+      const IncarnationKey key = ledger.expiries.begin()->second;
+      RecordOutstanding(&ledger, key, 0, kNever);
       changed_ = true;
     }
   }
 }
 
-void QuotaAllocator::Count(Book* book, const Key& key, Units share, Micros until) {
-  if (const auto found = book->out.find(key); found != book->out.end()) {
-    book->sum -= found->second.share;
-    book->ends.erase({found->second.until, key});
-    book->out.erase(found);
+void QuotaAllocator::RecordOutstanding(Ledger* ledger, const IncarnationKey& key, Units share,
+                                       Micros expires_at) {
+  if (const auto found = ledger->outstanding.find(key); found != ledger->outstanding.end()) {
+    ledger->outstanding_total -= found->second.share;
+    ledger->expiries.erase({found->second.expires_at, key});
+    ledger->outstanding.erase(found);
   }
   if (share <= 0)
     return;
-  book->sum += share;
-  book->out.emplace(key, Out1{share, until});
-  if (until != kNever)
-    book->ends.insert({until, key});
+  ledger->outstanding_total += share;
+  ledger->outstanding.emplace(key, OutstandingGrant{share, expires_at});
+  if (expires_at != kNever)
+    ledger->expiries.insert({expires_at, key});
 }
 
-Units QuotaAllocator::OutOf(const Book& book, const Key& key) const {
-  const auto found = book.out.find(key);
-  return found == book.out.end() ? 0 : found->second.share;
+Units QuotaAllocator::OutstandingOf(const Ledger& ledger, const IncarnationKey& key) const {
+  const auto found = ledger.outstanding.find(key);
+  return found == ledger.outstanding.end() ? 0 : found->second.share;
 }
 
-void QuotaAllocator::BeginLife(const std::string& name, Member* member, const QuotaRequest& ask) {
+void QuotaAllocator::BeginIncarnation(const std::string& name, Member* member, const QuotaRequest& request) {
   if (member->epoch != 0) {
-    // A rate ends with the life that had it. Slots may be in use at workers yet, and of an amount all that
-    // was granted may have been used.
-    const Key before{name, member->epoch};
-    for (std::size_t i = 0; i < books_.size(); ++i) {
+    // The grant of a rate ends with its incarnation. The slots of a level may still be in use at workers, and
+    // all that was granted of an amount may have been used, so these stay outstanding.
+    const IncarnationKey former{name, member->epoch};
+    for (std::size_t i = 0; i < ledgers_.size(); ++i) {
 #ifdef ALDERSILL_MUTANT_FORGOTTEN_EPOCH  // injected fault that budgets_search must detect
-      Count(&books_[i], before, 0, kNever);
+      RecordOutstanding(&ledgers_[i], former, 0, kNever);
 #else
       if (settings_.budgets[i].kind == Kind::kRate)
-        Count(&books_[i], before, 0, kNever);
+        RecordOutstanding(&ledgers_[i], former, 0, kNever);
 #endif
     }
   }
   *member = Member{};
-  member->epoch = ask.epoch;
-  member->lines.resize(books_.size());
-  if (ask.digest != digest_)
+  member->epoch = request.epoch;
+  member->lines.resize(ledgers_.size());
+  if (request.digest != digest_)
     effects_->push_back(QuotaAllocatorFailed{{ErrorCode::kSettingsDiffer, name}});
 }
 
@@ -119,124 +127,134 @@
 #ifdef ALDERSILL_MUTANT_NO_LEASE_CHECK  // injected fault that budgets_search must detect
   const bool holds = term_.has_value();
 #else
-  const bool holds = term_ && e.held == term_;
+  const bool holds = term_ && e.held_term == term_;
 #endif
   if (!holds) {
     ++counters_.not_held;
     return;
   }
-  const QuotaRequest& ask = e.ask;
+  const QuotaRequest& request = e.request;
   Member& member = members_[e.from];
-  if (ask.epoch < member.epoch || (ask.epoch == member.epoch && ask.number <= member.number)) {
+  if (request.epoch < member.epoch || (request.epoch == member.epoch && request.number <= member.number)) {
 #ifndef ALDERSILL_MUTANT_STALE_REQUEST  // injected fault that budgets_search must detect
     ++counters_.stale;
     return;
 #endif
   }
-  if (ask.epoch != member.epoch)
-    BeginLife(e.from, &member, ask), changed_ = true;
-  member.number = ask.number;
+  if (request.epoch != member.epoch) {
+    BeginIncarnation(e.from, &member, request);
+    changed_ = true;
+  }
+  member.number = request.number;
   member.last_seen_at = now_;
-  if (ask.digest != digest_ || ask.lines.size() != books_.size()) {
-    ++counters_.differ;
+  if (request.digest != digest_ || request.lines.size() != ledgers_.size()) {
+    ++counters_.settings_differ;
     return;
   }
-  changed_ |= member.weight != ask.weight || member.leaving != ask.leaving;
-  member.weight = ask.weight;
-  member.leaving = ask.leaving;
-  for (std::size_t i = 0; i < books_.size(); ++i) {
+  changed_ |= member.weight != request.weight || member.leaving != request.leaving;
+  member.weight = request.weight;
+  member.leaving = request.leaving;
+  for (std::size_t i = 0; i < ledgers_.size(); ++i) {
     const Units demand =
-        ask.lines[i].window == books_[i].window ? std::max<Units>(0, ask.lines[i].demand) : 0;
+        request.lines[i].window == ledgers_[i].window ? std::max<Units>(0, request.lines[i].demand) : 0;
     changed_ |= demand != member.lines[i].demand;
     member.lines[i].demand = demand;
   }
   if (changed_ && now_ >= divide_at_)
     DivideAll();
-  QuotaGrant answer{*term_, ask.epoch, ask.number, settings_.grant, {}};
-  const Key key{e.from, ask.epoch};
-  for (std::size_t i = 0; i < books_.size(); ++i)
-    answer.lines.push_back(Deal(i, key, member, ask.lines[i]));
-  ++counters_.answered;
-  if (!ask.leaving)
-    effects_->push_back(SendQuotaGrant{e.from, std::move(answer)});
+  QuotaGrant grant{*term_, request.epoch, request.number, settings_.grant_duration, {}};
+  const IncarnationKey key{e.from, request.epoch};
+  for (std::size_t i = 0; i < ledgers_.size(); ++i)
+    grant.lines.push_back(Allocate(i, key, member, request.lines[i]));
+  ++counters_.requests_answered;
+  if (!request.leaving)
+    effects_->push_back(SendQuotaGrant{e.from, std::move(grant)});
 }
 
-QuotaGrantLine QuotaAllocator::Deal(std::size_t i, const Key& key, const Member& member,
-                                    const QuotaRequestLine& line) {
-  const Budget& b = settings_.budgets[i];
-  Book& book = books_[i];
-  QuotaGrantLine answer{0, line.window, Learning(i, now_)};
-  if (line.window != book.window)
-    return answer;  // of an amount: by clocks that differ, just before or after
-  const Units shown_share = std::max<Units>(0, line.share);
-  const Units shown = std::max({shown_share, line.beyond, Units{0}});
+QuotaGrantLine QuotaAllocator::Allocate(std::size_t budget, const IncarnationKey& key, const Member& member,
+                                        const QuotaRequestLine& line) {
+  const Budget& b = settings_.budgets[budget];
+  Ledger& ledger = ledgers_[budget];
+  QuotaGrantLine grant{0, line.window, Learning(budget, now_)};
+  if (line.window != ledger.window)
+    return grant;  // an amount, and the client's clock is in another window
+  const Units reported_share = std::max<Units>(0, line.share);
+  const Units reported = std::max({reported_share, line.used_above_fallback, Units{0}});
 #ifdef ALDERSILL_MUTANT_GRANT_BEFORE_RECLAIM  // injected fault that budgets_search must detect
   const Units others = 0;
   Units before = 0;
   for (const auto& [name, m] : members_)
-    before += &m == &member ? 0 : m.lines[i].target;
+    before += &m == &member ? 0 : m.lines[budget].target;
   const Units room = std::max<Units>(0, Allocatable(b, settings_.instances) - before - others);
 #else
-  const Units room = std::max<Units>(0, Allocatable(b, settings_.instances) - (book.sum - OutOf(book, key)));
+  const Units room = std::max<Units>(
+      0, Allocatable(b, settings_.instances) - (ledger.outstanding_total - OutstandingOf(ledger, key)));
 #endif
   if (!member.leaving)
-    answer.share = std::min(answer.renewal ? shown_share : member.lines[i].target, room);
-  // It has what it shows, or what it is answered, whichever is more, until it shows which.
-  Micros until = now_ + settings_.grant;
+    grant.share = std::min(grant.renewal ? reported_share : member.lines[budget].target, room);
+  // The client may hold the reported share or the granted one until its next request shows which, so the
+  // larger one counts.
+  Micros expires_at = now_ + settings_.grant_duration;
   if (b.kind == Kind::kLevel)
-    until += static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
+    expires_at +=
+        static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.max_clock_drift));
   if (b.kind == Kind::kAmount)
-    until = kNever;  // what may be used is used, until the window ends
-  Count(&book, key, std::max(shown, answer.share), until);
-  return answer;
+    expires_at = kNever;  // an amount that may have been used counts until the window ends
+  RecordOutstanding(&ledger, key, std::max(reported, grant.share), expires_at);
+  return grant;
 }
 
 void QuotaAllocator::DivideAll() {
   changed_ = false;
-  divide_at_ = now_ + kDivideEach;
-  ++counters_.divided;
-  // Who has nothing and was not heard of for long. Not sooner: its number tells its late asks from new ones.
+  divide_at_ = now_ + kMinDivideInterval;
+  ++counters_.divisions;
+  // Forgets members that hold nothing and have sent no request for two grant durations. Not earlier, because
+  // the number of the last request tells delayed requests from new ones.
   std::erase_if(members_, [this](const auto& item) {
     const auto& [name, member] = item;
-    if (member.last_seen_at + 2 * settings_.grant >= now_)
+    if (member.last_seen_at + 2 * settings_.grant_duration >= now_)
       return false;
-    return std::all_of(books_.begin(), books_.end(), [key = Key{name, member.epoch}, this](const Book& book) {
-      return OutOf(book, key) == 0;
-    });
+    return std::all_of(ledgers_.begin(), ledgers_.end(),
+                       [key = IncarnationKey{name, member.epoch}, this](const Ledger& ledger) {
+                         return OutstandingOf(ledger, key) == 0;
+                       });
   });
-  for (std::size_t i = 0; i < books_.size(); ++i)
+  for (std::size_t i = 0; i < ledgers_.size(); ++i)
     DivideOne(i);
 }
 
-void QuotaAllocator::DivideOne(std::size_t i) {
-  const Units total = Allocatable(settings_.budgets[i], settings_.instances);
-  const Book& book = books_[i];
+void QuotaAllocator::DivideOne(std::size_t budget) {
+  const Units total = Allocatable(settings_.budgets[budget], settings_.instances);
+  const Ledger& ledger = ledgers_[budget];
   std::vector<Claim> claims;
   std::vector<Line*> lines;
-  Units gone = book.sum;  // of former lives, and of instances not heard of lately
+  Units unavailable = ledger.outstanding_total;  // outstanding to former incarnations and to inactive members
   for (auto& [name, member] : members_) {
-    const Units own = OutOf(book, {name, member.epoch});
-    gone -= own;
-    const bool lost = member.leaving || member.last_seen_at + settings_.grant < now_;
-    if (lost) {
-      gone += own;
-      member.lines[i].target = 0;
+    const Units own = OutstandingOf(ledger, {name, member.epoch});
+    unavailable -= own;
+    const bool inactive = member.leaving || member.last_seen_at + settings_.grant_duration < now_;
+    if (inactive) {
+      unavailable += own;
+      member.lines[budget].target = 0;
       continue;
     }
-    const double wanted = static_cast<double>(member.lines[i].demand) * kHeadroom;
+    const double wanted = static_cast<double>(member.lines[budget].demand) * kHeadroom;
     claims.push_back({static_cast<Units>(wanted + 0.999), member.weight});
-    lines.push_back(&member.lines[i]);
+    lines.push_back(&member.lines[budget]);
   }
-  const Units left = std::max<Units>(0, total - gone);
-  const std::vector<Units> shares = Divide(left, left / kFloorsPart, claims);
-  // Noise moves nothing: shares stay where they are, unless that does not fit, or leaves something lying.
+  const Units left = std::max<Units>(0, total - unavailable);
+  const std::vector<Units> shares = Divide(left, left / kFloorDivisor, claims);
+  // A small change of a share is taken for noise, and the share stays as it is, unless the shares then exceed
+  // what is left or leave more than 1 % of the division unused.
   Units kept_sum = 0, sum = 0;
   std::vector<Units> kept(shares.size());
   for (std::size_t at = 0; at < shares.size(); ++at) {
-    const Units was = lines[at]->target;
-    const bool noise = std::abs(static_cast<double>(shares[at] - was)) <= kNoise * static_cast<double>(was);
-    kept[at] = noise ? was : shares[at];
-    kept_sum += kept[at], sum += shares[at];
+    const Units previous = lines[at]->target;
+    const bool small_change = std::abs(static_cast<double>(shares[at] - previous)) <=
+                              kMinRelativeChange * static_cast<double>(previous);
+    kept[at] = small_change ? previous : shares[at];
+    kept_sum += kept[at];
+    sum += shares[at];
   }
   const bool fits = kept_sum <= left && static_cast<double>(kept_sum) >= 0.99 * static_cast<double>(sum);
   for (std::size_t at = 0; at < shares.size(); ++at)
--- a/src/budgets/quota_client.cpp
+++ b/src/budgets/quota_client.cpp
@@ -8,8 +8,10 @@
 namespace {
 
 constexpr Micros kNever = INT64_MAX;
-constexpr Micros kSmoothed = 2 * kSecond;  // demand is an average that forgets within this time
-constexpr double kChance = 4.0;            // standard deviations of arrivals that come by chance
+// The time constant of the exponential average of the arrivals.
+constexpr Micros kDemandTimeConstant = 2 * kSecond;
+// Deviations of the number of arrivals up to this many standard deviations count as chance.
+constexpr double kChanceDeviations = 4.0;
 
 double Seconds(Micros time) { return static_cast<double>(time) / kSecond; }
 
@@ -18,16 +20,16 @@
 QuotaClient::QuotaClient(Settings settings)
     : settings_(std::move(settings)),
       digest_(Digest(settings_)),
-      soon_(settings_.grant / 20),
-      retry_(settings_.grant / 8),
-      calm_(settings_.grant / 4),
+      min_interval_(settings_.grant_duration / 20),
+      retry_interval_(settings_.grant_duration / 8),
+      regular_interval_(settings_.grant_duration / 4),
       states_(settings_.budgets.size()) {}
 
 void QuotaClient::Handle(Micros now, QuotaClientEvent event, std::vector<QuotaClientEffect>* effects) {
   CatchUp(now);
   effects_ = effects;
   std::visit([this](const auto& e) { On(e); }, event);
-  if (!lapsed_ && now_ >= until_) {
+  if (!lapsed_ && now_ >= granted_until_) {
     lapsed_ = true;
     ++counters_.lapsed;
     effects_->push_back(QuotaClientFailed{{ErrorCode::kNoGrant, settings_.name}});
@@ -35,9 +37,9 @@
 }
 
 Micros QuotaClient::next_due() const {
-  if (left_)
-    return repeats_ > 0 ? due_ : kNever;
-  return lapsed_ ? due_ : std::min(due_, until_);
+  if (released_)
+    return release_repeats_ > 0 ? due_ : kNever;
+  return lapsed_ ? due_ : std::min(due_, granted_until_);
 }
 
 int QuotaClient::Index(std::string_view budget) const {
@@ -51,57 +53,60 @@
 // ---- What may be used ----
 
 Units QuotaClient::FallbackQuotaNow(const Budget& b, Micros now) const {
-  if (settings_.seat > settings_.instances || left_)
+  if (settings_.seat > settings_.instances || released_)
     return 0;
 #ifdef ALDERSILL_MUTANT_DOUBLE_FALLBACK  // injected fault that budgets_search must detect
   static_cast<void>(now);
 #else
-  // What the seat's former life took of it may be in use still, or used in this window.
-  const Micros drifted =
-      started_at_ + static_cast<Micros>(static_cast<double>(b.longest_use) * (1 + 2 * settings_.most_drift));
-  if (b.kind == Kind::kLevel && now < drifted)
+  // The seat's former incarnation may have taken slots that are still in use, or used its amount in this
+  // window.
+  const Micros former_slots_free_at = started_at_ + static_cast<Micros>(static_cast<double>(b.longest_use) *
+                                                                        (1 + 2 * settings_.max_clock_drift));
+  if (b.kind == Kind::kLevel && now < former_slots_free_at)
     return 0;
-  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + settings_.most_apart))
+  if (b.kind == Kind::kAmount && WindowAt(b, now) <= WindowAt(b, started_at_ + settings_.max_clock_skew))
     return 0;
 #endif
   return FallbackQuota(b, settings_.instances);
 }
 
-double QuotaClient::Cap(const Budget& b, Units share) const {
+double QuotaClient::BucketCapacity(const Budget& b, Units share) const {
   const double own = settings_.seat <= settings_.instances ? 1.0 : 0.0;
   return own + static_cast<double>(b.burst - settings_.instances) * static_cast<double>(share) /
                    static_cast<double>(std::max<Units>(1, Allocatable(b, settings_.instances)));
 }
 
-void QuotaClient::FillTo(const Budget& b, BudgetState* p, Units share, Micros to) const {
-  if (to <= p->filled_at)
+void QuotaClient::RefillTo(const Budget& b, BudgetState* state, Units share, Micros to) const {
+  if (to <= state->filled_at)
     return;
-  // A fast clock must not make more of a second than there is in it.
+  // Lowered by the maximum drift, so that a fast clock does not add more tokens than the rate allows.
   const double rate =
-      static_cast<double>(share + FallbackQuotaNow(b, to)) / kUnitsAStart * (1 - settings_.most_drift);
-  p->tokens = std::min(p->tokens + rate * Seconds(to - p->filled_at), Cap(b, share));
-  p->filled_at = to;
+      static_cast<double>(share + FallbackQuotaNow(b, to)) / kUnitsPerStart * (1 - settings_.max_clock_drift);
+  state->tokens = std::min(state->tokens + rate * Seconds(to - state->filled_at), BucketCapacity(b, share));
+  state->filled_at = to;
 }
 
-void QuotaClient::Fill(const Budget& b, BudgetState* p, Micros now) const {
-  // What came until the grant's end came by the grant; from there on by the careful share, in a smaller
-  // bucket.
-  FillTo(b, p, p->share, std::min(now, until_));
-  if (now >= until_)
-    FillTo(b, p, 0, now);
-  p->tokens = std::min(p->tokens, Cap(b, ShareNow(*p, now)));
+void QuotaClient::Refill(const Budget& b, BudgetState* state, Micros now) const {
+  // Until the grant expires, the bucket fills by the share and the fallback quota; after that by the fallback
+  // quota alone, with a smaller capacity.
+  RefillTo(b, state, state->share, std::min(now, granted_until_));
+  if (now >= granted_until_)
+    RefillTo(b, state, 0, now);
+  state->tokens = std::min(state->tokens, BucketCapacity(b, ShareNow(*state, now)));
 }
 
 void QuotaClient::CatchUp(Micros now) {
   now_ = std::max(now_, now);
   for (std::size_t i = 0; i < states_.size(); ++i) {
     const Budget& b = settings_.budgets[i];
-    BudgetState& p = states_[i];
+    BudgetState& state = states_[i];
     if (b.kind == Kind::kRate)
-      Fill(b, &p, now_);
-    if (const std::uint64_t window = WindowAt(b, now_); window != p.window) {
-      p.window = window;
-      p.share = 0, p.used = 0, p.refused = 0;
+      Refill(b, &state, now_);
+    if (const std::uint64_t window = WindowAt(b, now_); window != state.window) {
+      state.window = window;
+      state.share = 0;
+      state.used = 0;
+      state.refused = 0;
       due_ = std::min(due_, now_);
     }
   }
@@ -109,10 +114,10 @@
 
 Units QuotaClient::Allowed(Micros now, std::string_view budget) const {
   const int i = Index(budget);
-  if (i < 0 || left_)
+  if (i < 0 || released_)
     return 0;
   const Budget& b = settings_.budgets[i];
-  // A share of a window is of no other, also where nothing has happened here since.
+  // A share is valid only in its own window, also if no event has come since the window ended.
   const Units share = states_[i].window == WindowAt(b, now) ? ShareNow(states_[i], now) : 0;
   return share + FallbackQuotaNow(b, now);
 }
@@ -121,31 +126,32 @@
   const int i = Index(budget);
   if (i < 0)
     return ErrorCode::kUnknown;
-  if (left_)
+  if (released_)
     return ErrorCode::kLeaving;
   CatchUp(now);
   const Budget& b = settings_.budgets[i];
-  BudgetState& p = states_[i];
-  p.attempts += count;
+  BudgetState& state = states_[i];
+  state.attempts += count;
 #ifdef ALDERSILL_MUTANT_EXPIRED_GRANT  // injected fault that budgets_search must detect
   const bool granted = true;
 #else
-  const bool granted = now_ < until_;
+  const bool granted = now_ < granted_until_;
 #endif
-  const Units allowed = (granted ? p.share : 0) + FallbackQuotaNow(b, now_);
-  const bool may = b.kind == Kind::kRate ? p.tokens >= static_cast<double>(count) : p.used + count <= allowed;
-  if (may) {
-    b.kind == Kind::kRate ? void(p.tokens -= static_cast<double>(count)) : void(p.used += count);
-    p.peak = std::max(p.peak, p.used);
-    // Work that was not there: to be told soon.
-    if (b.kind != Kind::kRate && p.used + p.waiting > p.reported)
-      AskSoon();
+  const Units allowed = (granted ? state.share : 0) + FallbackQuotaNow(b, now_);
+  const bool fits =
+      b.kind == Kind::kRate ? state.tokens >= static_cast<double>(count) : state.used + count <= allowed;
+  if (fits) {
+    b.kind == Kind::kRate ? void(state.tokens -= static_cast<double>(count)) : void(state.used += count);
+    state.peak = std::max(state.peak, state.used);
+    // This demand has not been reported yet.
+    if (b.kind != Kind::kRate && state.used + state.waiting > state.reported)
+      RequestSoon();
     return std::nullopt;
   }
   ++counters_.refused;
-  p.refused += count;
-  if (HasChanged(b, p))
-    AskSoon();
+  state.refused += count;
+  if (DemandHasRisen(b, state))
+    RequestSoon();
   if (granted)
     return ErrorCode::kUsedUp;
   return settings_.seat > settings_.instances ? ErrorCode::kNoSeat : ErrorCode::kNoGrant;
@@ -159,90 +165,93 @@
   states_[i].used = std::max<std::int64_t>(0, states_[i].used - count);
 }
 
-void QuotaClient::Waiting(Micros now, std::string_view budget, std::int64_t count) {
+void QuotaClient::SetWaiting(Micros now, std::string_view budget, std::int64_t count) {
   const int i = Index(budget);
   if (i < 0)
     return;
   CatchUp(now);
-  BudgetState& p = states_[i];
-  p.waiting = count;
-  p.peak = std::max(p.peak, p.used + p.waiting);
-  if (2 * (p.used + p.waiting) > 3 * p.reported)
-    AskSoon();
+  BudgetState& state = states_[i];
+  state.waiting = count;
+  state.peak = std::max(state.peak, state.used + state.waiting);
+  if (2 * (state.used + state.waiting) > 3 * state.reported)
+    RequestSoon();
 }
 
-// ---- Asking ----
+// ---- Requests ----
 
-// Whether there is more demand than the holder has been told of, beyond chance: asking more often for what it
-// knows of would cost it more and bring nothing.
-bool QuotaClient::HasChanged(const Budget& b, const BudgetState& p) const {
+// Whether demand exceeds the last reported value by more than chance explains. Requests for demand that the
+// allocator knows already would cost it time and gain nothing.
+bool QuotaClient::DemandHasRisen(const Budget& b, const BudgetState& state) const {
   if (b.kind != Kind::kRate)
-    return p.used + std::max(p.waiting, p.refused) > p.reported;
-  const double usual = static_cast<double>(p.reported) / kUnitsAStart * Seconds(now_ - asked_at_);
-  return static_cast<double>(p.attempts) > usual + kChance * (1.0 + std::sqrt(usual));
+    return state.used + std::max(state.waiting, state.refused) > state.reported;
+  const double expected =
+      static_cast<double>(state.reported) / kUnitsPerStart * Seconds(now_ - requested_at_);
+  return static_cast<double>(state.attempts) > expected + kChanceDeviations * (1.0 + std::sqrt(expected));
 }
 
-void QuotaClient::Measure() {
-  const Micros passed = now_ - measured_at_;
-  if (passed <= 0)
+void QuotaClient::MeasureDemand() {
+  const Micros elapsed = now_ - measured_at_;
+  if (elapsed <= 0)
     return;
-  const double keeps = std::exp(-Seconds(passed) / Seconds(kSmoothed));
-  for (BudgetState& p : states_) {
-    const double usual = p.offered * Seconds(passed), arrived = static_cast<double>(p.attempts);
-    // What no chance explains is no noise: traffic has moved, and the average would say so only much later.
-    const bool moved = std::abs(arrived - usual) > kChance * (1.0 + std::sqrt(usual));
-    p.offered =
-        moved ? arrived / Seconds(passed) : p.offered * keeps + arrived / Seconds(passed) * (1 - keeps);
-    p.attempts = 0;
+  const double decay = std::exp(-Seconds(elapsed) / Seconds(kDemandTimeConstant));
+  for (BudgetState& state : states_) {
+    const double expected = state.offered * Seconds(elapsed), arrived = static_cast<double>(state.attempts);
+    // A deviation that chance does not explain means that traffic has moved. The average would show it only
+    // much later, so the new value replaces it.
+    const bool moved = std::abs(arrived - expected) > kChanceDeviations * (1.0 + std::sqrt(expected));
+    state.offered =
+        moved ? arrived / Seconds(elapsed) : state.offered * decay + arrived / Seconds(elapsed) * (1 - decay);
+    state.attempts = 0;
   }
   measured_at_ = now_;
 }
 
-Units QuotaClient::Demand(const Budget& b, const BudgetState& p) const {
+Units QuotaClient::Demand(const Budget& b, const BudgetState& state) const {
   switch (b.kind) {
     case Kind::kRate:
-      return static_cast<Units>(p.offered * kUnitsAStart);
+      return static_cast<Units>(state.offered * kUnitsPerStart);
     case Kind::kLevel:
-      return std::max(p.peak, p.used + std::max(p.waiting, p.refused));
+      return std::max(state.peak, state.used + std::max(state.waiting, state.refused));
     case Kind::kAmount: {
-      // For some asks ahead, not for the whole rest: others will want of it too.
-      const Micros ahead = std::min<Micros>(4 * calm_, b.window - now_ % b.window);
-      return p.used + p.refused + static_cast<Units>(std::ceil(p.offered * Seconds(ahead)));
+      // Covers the next requests only, not the rest of the window, so that a part is left for other
+      // instances.
+      const Micros horizon = std::min<Micros>(4 * regular_interval_, b.window - now_ % b.window);
+      return state.used + state.refused + static_cast<Units>(std::ceil(state.offered * Seconds(horizon)));
     }
   }
   return 0;
 }
 
-void QuotaClient::SendNow() {
-  due_ = now_ + (holder_.empty() ? calm_ : retry_);
+void QuotaClient::SendRequest() {
+  due_ = now_ + (holder_.empty() ? regular_interval_ : retry_interval_);
   if (holder_.empty())
     return;
-  Measure();
-  QuotaRequest ask{settings_.epoch, ++number_, digest_, settings_.weight, left_, {}};
+  MeasureDemand();
+  QuotaRequest request{settings_.epoch, ++number_, digest_, settings_.weight, released_, {}};
   for (std::size_t i = 0; i < states_.size(); ++i) {
     const Budget& b = settings_.budgets[i];
-    BudgetState& p = states_[i];
+    BudgetState& state = states_[i];
     QuotaRequestLine line;
-    p.reported = left_ ? 0 : Demand(b, p);
-    line.demand = std::max<Units>(0, p.reported - FallbackQuotaNow(b, now_));  // that is its own already
-    line.share = left_ ? 0 : ShareNow(p, now_);
+    state.reported = released_ ? 0 : Demand(b, state);
+    line.demand = std::max<Units>(0, state.reported - FallbackQuotaNow(b, now_));  // needs no grant
+    line.share = released_ ? 0 : ShareNow(state, now_);
     if (b.kind != Kind::kRate)
-      line.beyond = std::max<Units>(0, p.used - FallbackQuotaNow(b, now_));
-    line.window = p.window;
-    ask.lines.push_back(line);
-    p.peak = p.used;
-    p.refused = 0;
+      line.used_above_fallback = std::max<Units>(0, state.used - FallbackQuotaNow(b, now_));
+    line.window = state.window;
+    request.lines.push_back(line);
+    state.peak = state.used;
+    state.refused = 0;
   }
-  asked_at_ = now_;
+  requested_at_ = now_;
   answered_ = false;
-  ++counters_.asked;
-  effects_->push_back(SendQuotaRequest{holder_, std::move(ask)});
+  ++counters_.requests_sent;
+  effects_->push_back(SendQuotaRequest{holder_, std::move(request)});
 }
 
 void QuotaClient::On(const QuotaClientStarted&) {
   started_at_ = measured_at_ = now_;
-  for (BudgetState& p : states_)
-    p.filled_at = now_;
+  for (BudgetState& state : states_)
+    state.filled_at = now_;
   due_ = now_;
   if (settings_.seat > settings_.instances)
     effects_->push_back(QuotaClientFailed{{ErrorCode::kNoSeat, settings_.name}});
@@ -253,70 +262,73 @@
     return;
   holder_ = e.name;
   holder_term_ = e.term;
-  if (!left_ || repeats_ > 0)
-    SendNow();
+  if (!released_ || release_repeats_ > 0)
+    SendRequest();
 }
 
 void QuotaClient::On(const QuotaClientTimerExpired&) {
-  if (now_ < due_ || (left_ && repeats_ == 0))
+  if (now_ < due_ || (released_ && release_repeats_ == 0))
     return;
-  if (left_)
-    --repeats_;
-  SendNow();
+  if (released_)
+    --release_repeats_;
+  SendRequest();
 }
 
 void QuotaClient::On(const ReleaseQuota&) {
-  if (left_)
+  if (released_)
     return;
-  left_ = true;
-  until_ = now_;
+  released_ = true;
+  granted_until_ = now_;
   lapsed_ = true;
-  SendNow();
+  SendRequest();
 }
 
 void QuotaClient::On(const QuotaGrantReceived& e) {
-  const QuotaGrant& a = e.answer;
-  // Only the answer to the last ask: what was shown by it is still all that there is. (An answer to an
-  // earlier one may give back what has been shown as given up since, and is another's by now.)
+  const QuotaGrant& grant = e.grant;
+  // Accepts only the answer to the last request, because the shares that this request reported are still all
+  // that this instance holds. The answer to an earlier request could restore a share that has been reported
+  // as given up since, and another instance may hold that share by now.
 #ifdef ALDERSILL_MUTANT_OUTDATED_GRANT  // injected fault that budgets_search must detect
-  const bool last = a.number <= number_;
+  const bool is_last = grant.number <= number_;
 #else
-  const bool last = a.number == number_ && !answered_;
+  const bool is_last = grant.number == number_ && !answered_;
 #endif
-  if (left_ || a.epoch != settings_.epoch || !last || a.term < term_ || a.lines.size() != states_.size()) {
+  if (released_ || grant.epoch != settings_.epoch || !is_last || grant.term < term_ ||
+      grant.lines.size() != states_.size()) {
     ++counters_.stale;
     return;
   }
 #ifdef ALDERSILL_MUTANT_NO_DRIFT_MARGIN  // injected fault that budgets_search must detect
   const double margin = 0.0;
 #else
-  const double margin = 2.0 * settings_.most_drift;
+  const double margin = 2.0 * settings_.max_clock_drift;
 #endif
-  const Micros until = asked_at_ + static_cast<Micros>(static_cast<double>(a.lasts) * (1.0 - margin));
-  const bool had = now_ < until_;
-  bool less = false;
+  const Micros until =
+      requested_at_ + static_cast<Micros>(static_cast<double>(grant.duration) * (1.0 - margin));
+  const bool had_grant = now_ < granted_until_;
+  bool reduced = false;
   for (std::size_t i = 0; i < states_.size(); ++i) {
-    BudgetState& p = states_[i];
-    const QuotaGrantLine& line = a.lines[i];
-    const Units before = had ? p.share : 0;
-    Units share = line.window == p.window ? std::max<Units>(0, line.share) : 0;
+    BudgetState& state = states_[i];
+    const QuotaGrantLine& line = grant.lines[i];
+    const Units previous = had_grant ? state.share : 0;
+    Units share = line.window == state.window ? std::max<Units>(0, line.share) : 0;
 #ifndef ALDERSILL_MUTANT_RENEWED_EXPIRED_SHARE  // injected fault
-    // The holder knows it only from what was shown: where that has ended since, it may be another's.
+    // A renewal relies on the reported share alone: if that has expired since, another instance may hold it.
     if (line.renewal)
-      share = std::min(share, before);
+      share = std::min(share, previous);
 #endif
-    less |= share < before;
-    p.share = share;
+    reduced |= share < previous;
+    state.share = share;
   }
   answered_ = true;
-  due_ = asked_at_ + calm_;
-  term_ = a.term;
-  until_ = until;
-  lapsed_ = now_ >= until_;
-  ++counters_.answered;
-  CatchUp(now_);  // buckets are cut to size at once
-  if (less)
-    AskSoon();  // what was given up is of use to others only when it is known
+  due_ = requested_at_ + regular_interval_;
+  term_ = grant.term;
+  granted_until_ = until;
+  lapsed_ = now_ >= granted_until_;
+  ++counters_.grants_accepted;
+  CatchUp(now_);  // limits the token buckets to their new capacities
+  if (reduced)
+    RequestSoon();  // others can use what was given up only after it has been reported
 }
 
 }  // namespace aldersill::budgets
--- a/src/budgets/quota_client.h
+++ b/src/budgets/quota_client.h
@@ -1,12 +1,14 @@
-// What one instance may use of each budget, now. Pure: (now, event) -> effects; and each act is asked for.
+// Decides what one instance may use of each budget at present. A pure reducer, (now, event) -> effects, with
+// calls in addition (Take, Free) for each use.
 //
-// An instance shows the duty's holder what it has and what it wants, and has what it is answered until that
-// ends, by its own clock, 2 * most_drift early and counted from its asking: so it has ended here before it
-// can have ended for the holder, wherever the time between went (a slow network, SIGSTOP). Beyond grants it
-// has a careful share that is kept aside for its seat.
+// The client reports its shares and its demand to the holder of the duty `budgets`, and may use the shares
+// that are granted in the answer until they expire. They expire by this instance's clock, counted from the
+// sending of the request and shortened by 2 * max_clock_drift. So a grant expires here before it can expire
+// at the allocator, wherever the time between was spent (in a slow network, or stopped by SIGSTOP). In
+// addition to grants the client has a fallback quota, which is reserved for its seat.
 //
-// `now` is to be read after the message or the request in hand was taken from its socket, and right before
-// the act.
+// The caller must read the clock for `now` after it has taken the message or request from its socket, right
+// before the call.
 #ifndef ALDERSILL_SRC_BUDGETS_QUOTA_CLIENT_H_
 #define ALDERSILL_SRC_BUDGETS_QUOTA_CLIENT_H_
 
@@ -25,16 +27,17 @@
 // ---- Events ----
 
 struct QuotaClientStarted {};
-struct LeaseHolderChanged {  // as it says itself; one of an earlier term is not listened to any more
+// Announced by the new holder itself. Ignored unless the term is later than the last one.
+struct LeaseHolderChanged {
   std::string name;
   std::uint64_t term = 0;
 };
 struct QuotaGrantReceived {
   std::string from;
-  QuotaGrant answer;
+  QuotaGrant grant;
 };
-struct QuotaClientTimerExpired {};  // next_due() is reached
-struct ReleaseQuota {};             // for good: nothing is used any more
+struct QuotaClientTimerExpired {};  // the time next_due() has come
+struct ReleaseQuota {};             // gives back everything for good
 using QuotaClientEvent = std::variant<QuotaClientStarted, LeaseHolderChanged, QuotaGrantReceived,
                                       QuotaClientTimerExpired, ReleaseQuota>;
 
@@ -42,18 +45,18 @@
 
 struct SendQuotaRequest {
   std::string to;
-  QuotaRequest ask;
+  QuotaRequest request;
 };
-struct QuotaClientFailed {  // once when it begins
+struct QuotaClientFailed {  // kNoSeat once at the start; kNoGrant each time the grants expire
   Error error;
 };
 using QuotaClientEffect = std::variant<SendQuotaRequest, QuotaClientFailed>;
 
 struct QuotaClientCounters {
-  std::uint64_t asked = 0, answered = 0;
-  std::uint64_t stale = 0;    // answers to other than the last ask, or by an earlier term
-  std::uint64_t lapsed = 0;   // grants that ended before the next came
-  std::uint64_t refused = 0;  // acts
+  std::uint64_t requests_sent = 0, grants_accepted = 0;
+  std::uint64_t stale = 0;    // grants that do not answer the last request, or are of an earlier term
+  std::uint64_t lapsed = 0;   // how often the grants expired before the next came
+  std::uint64_t refused = 0;  // refused calls of Take
 };
 
 class QuotaClient {
@@ -61,34 +64,40 @@
   explicit QuotaClient(Settings settings);
 
   void Handle(Micros now, QuotaClientEvent event, std::vector<QuotaClientEffect>* effects);
+  // When Handle must be called with QuotaClientTimerExpired; INT64_MAX for never.
   Micros next_due() const;
 
-  // Takes `count` starts, slots or units, all or nothing; the reason where it may not. A refused act counts
-  // as demand as a served one does. After it ask next_due() again.
+  // Takes `count` starts, slots or units, all or nothing. Returns nothing on success and otherwise the reason
+  // for the refusal. Refused calls count as demand as served ones do. May change next_due().
   std::optional<ErrorCode> Take(Micros now, std::string_view budget, std::int64_t count = 1);
-  // Slots that are not in use any more.
+  // Level: gives back slots that are no longer in use. Does nothing for other kinds.
   void Free(Micros now, std::string_view budget, std::int64_t count = 1);
-  // Level: how many more slots there is work for now.
-  void Waiting(Micros now, std::string_view budget, std::int64_t count);
+  // Level: sets the number of further slots for which work is waiting now.
+  void SetWaiting(Micros now, std::string_view budget, std::int64_t count);
 
-  // What may be used now, grant and careful share together: what a module's quota is to be set to.
+  // What may be used now, share and fallback quota together. A module that enforces the quota itself sets it
+  // to this value.
   Units Allowed(Micros now, std::string_view budget) const;
-  bool Granted(Micros now) const { return now < until_; }
+  // Whether the last grant has not expired.
+  bool HasGrant(Micros now) const { return now < granted_until_; }
   std::uint64_t term() const { return term_; }
   const QuotaClientCounters& counters() const { return counters_; }
   const Settings& settings() const { return settings_; }
 
  private:
   struct BudgetState {
-    Units share = 0;           // until `until_`
-    std::uint64_t window = 0;  // that the share and `used` are of
-    std::int64_t used = 0;     // slots now, or units in the window
-    double tokens = 0;         // rate: of a bucket, in starts
-    Micros filled_at = 0;
+    Units share = 0;           // valid until `granted_until_`
+    std::uint64_t window = 0;  // window of `share` and `used`
+    std::int64_t used = 0;     // level: slots in use; amount: units used in the window
+    double tokens = 0;         // rate: content of the token bucket, in starts
+    Micros filled_at = 0;      // rate: last refill of the bucket
     // Demand.
-    double offered = 0;  // a second, smoothed
-    std::int64_t attempts = 0, refused = 0, waiting = 0, peak = 0;
-    Units reported = 0;
+    double offered = 0;         // smoothed demand per second, in starts, slots or units
+    std::int64_t attempts = 0;  // taken or refused since the last MeasureDemand()
+    std::int64_t refused = 0;   // since the last request
+    std::int64_t waiting = 0;   // as set by SetWaiting()
+    std::int64_t peak = 0;      // highest use, with waiting work, since the last request
+    Units reported = 0;         // demand at the last request, with the fallback quota
   };
 
   void On(const QuotaClientStarted&);
@@ -96,34 +105,46 @@
   void On(const QuotaGrantReceived& e);
   void On(const QuotaClientTimerExpired&);
   void On(const ReleaseQuota&);
+  // Refills the token buckets, and begins new windows.
   void CatchUp(Micros now);
-  void Fill(const Budget& b, BudgetState* p, Micros now) const;
-  void FillTo(const Budget& b, BudgetState* p, Units share, Micros to) const;
-  double Cap(const Budget& b, Units share) const;
+  void Refill(const Budget& b, BudgetState* state, Micros now) const;
+  void RefillTo(const Budget& b, BudgetState* state, Units share, Micros to) const;
+  // Capacity of the token bucket, in starts, with this share.
+  double BucketCapacity(const Budget& b, Units share) const;
+  // The fallback quota that may be used now; 0 after a release, and while the seat's former incarnation may
+  // still use it.
   Units FallbackQuotaNow(const Budget& b, Micros now) const;
-  Units ShareNow(const BudgetState& p, Micros now) const { return now < until_ ? p.share : 0; }
-  bool HasChanged(const Budget& b, const BudgetState& p) const;
-  void Measure();
-  Units Demand(const Budget& b, const BudgetState& p) const;
-  void SendNow();
-  void AskSoon() { due_ = std::min(due_, std::max(now_, asked_at_ + (answered_ ? soon_ : retry_))); }
+  Units ShareNow(const BudgetState& state, Micros now) const {
+    return now < granted_until_ ? state.share : 0;
+  }
+  bool DemandHasRisen(const Budget& b, const BudgetState& state) const;
+  void MeasureDemand();
+  Units Demand(const Budget& b, const BudgetState& state) const;
+  void SendRequest();
+  // Moves the next request forward as far as the intervals allow.
+  void RequestSoon() {
+    due_ = std::min(due_, std::max(now_, requested_at_ + (answered_ ? min_interval_ : retry_interval_)));
+  }
+  // -1 if there is no budget of this name.
   int Index(std::string_view budget) const;
 
   const Settings settings_;
   const std::uint64_t digest_;
-  // Between asks: at least, where there is no answer (a way there and back must take less), and in calm.
-  const Micros soon_, retry_, calm_;
+  // Between two requests: the minimum, the interval until a repeat if no answer has come (a round trip must
+  // take less), and the regular interval.
+  const Micros min_interval_, retry_interval_, regular_interval_;
   Micros now_ = 0;
   Micros started_at_ = 0;
   std::vector<QuotaClientEffect>* effects_ = nullptr;
-  std::string holder_;
-  std::vector<BudgetState> states_;
-  Micros until_ = 0;
-  bool left_ = false, lapsed_ = true;
-  int repeats_ = 2;  // of the word that all was given back, which nobody answers
+  std::string holder_;               // of the duty `budgets`; empty if not known
+  std::vector<BudgetState> states_;  // in the order of the settings
+  Micros granted_until_ = 0;         // expiry of all shares
+  bool released_ = false, lapsed_ = true;
+  // How many more times the request that reports the release is sent: it is never answered and may be lost.
+  int release_repeats_ = 2;
   std::uint64_t holder_term_ = 0, term_ = 0, number_ = 0;
-  bool answered_ = true;  // the last ask has been
-  Micros asked_at_ = 0, measured_at_ = 0;
+  bool answered_ = true;  // whether the last request has been answered
+  Micros requested_at_ = 0, measured_at_ = 0;
   Micros due_ = INT64_MAX;
   QuotaClientCounters counters_;
 };
--- a/tests/budgets/budget_scenario.cpp
+++ b/tests/budgets/budget_scenario.cpp
@@ -14,18 +14,20 @@
   tools::VirtualBudgets::Options options;
   options.seed = seed;
   stated_members_ = 3 + static_cast<int>(random_(6));
-  options.instances = stated_members_ + 1;  // one above the stated number; often it never begins
+  options.instances = stated_members_ + 1;  // one above the stated number; often it never starts
   options.voters = stated_members_ >= 5 && random_(2) == 0 ? 5 : 3;
   constexpr double kLoss[] = {0.0, 0.0, 0.02, 0.05, 0.2};
   options.network.loss = kLoss[random_(5)];
-  options.network.doubled = random_(2) == 0 ? 0.0 : 0.1;
+  options.network.duplicated = random_(2) == 0 ? 0.0 : 0.1;
   constexpr Micros kSlow[] = {300 * kMillisecond, 2 * kSecond, 6 * kSecond};
-  if (random_(2) == 0)
-    options.network.slow = 0.05, options.network.slow_most = kSlow[random_(3)];
-  options.drift = 0.01;
-  options.clocks_apart = 500 * kMillisecond;
+  if (random_(2) == 0) {
+    options.network.slow = 0.05;
+    options.network.max_slow_delay = kSlow[random_(3)];
+  }
+  options.max_drift = 0.01;
+  options.max_clock_offset = 500 * kMillisecond;
   options.lease = 2 * kSecond;
-  options.settings.grant = 3 * kSecond;
+  options.settings.grant_duration = 3 * kSecond;
   options.settings.instances = stated_members_;
   options.settings.budgets = SmallBudgets(stated_members_);
   fleet_ = std::make_unique<Fleet>(options);
@@ -38,15 +40,15 @@
 std::string BudgetScenario::Play() {
   for (int i = 0; i <= stated_members_; ++i) {
     if (i < stated_members_ || random_(3) == 0)
-      fleet_->world.At(static_cast<Micros>(random_(2'000'000)), [this, i] { fleet_->world.Begin(i); });
+      fleet_->world.At(static_cast<Micros>(random_(2'000'000)), [this, i] { fleet_->world.Start(i); });
   }
   PlanFaults();
   if (fleet_->RunUntil(kFaultPeriod))
-    MendAll();
-  return fleet_->broken;
+    RepairAll();
+  return fleet_->violation;
 }
 
-void BudgetScenario::Say(const std::string& what) const {
+void BudgetScenario::Log(const std::string& what) const {
   if (verbose_)
     std::printf("%9.3f  %s\n", static_cast<double>(fleet_->world.now()) / kSecond, what.c_str());
 }
@@ -85,29 +87,29 @@
 
 void BudgetScenario::PlanDeath(Micros at, int member, Micros duration) {
   fleet_->world.At(at, [this, member] { Kill(member); });
-  fleet_->world.At(at + duration, [this, member] { Begin(member); });
+  fleet_->world.At(at + duration, [this, member] { Start(member); });
 }
 
 void BudgetScenario::PlanRestart(Micros at, int member) {
   fleet_->world.At(at, [this, member] {
-    if (!fleet_->world.Runs(member))
+    if (!fleet_->world.IsRunning(member))
       return;
     Kill(member);
-    Begin(member);
+    Start(member);
   });
 }
 
 void BudgetScenario::PlanPause(Micros at, int member, Micros duration) {
-  // The lease holder as often as the drawn member.
+  // Pauses the lease holder as often as the drawn member.
   const bool holder = random_(2) == 0;
   auto paused = std::make_shared<int>(member);
   fleet_->world.At(at, [this, paused, holder] {
     *paused = holder ? fleet_->world.Holder().value_or(*paused) : *paused;
-    Say(fleet_->world.name(*paused) + " is paused");
+    Log(fleet_->world.name(*paused) + " is paused");
     fleet_->world.Pause(*paused);
   });
   fleet_->world.At(at + duration, [this, paused] {
-    Say(fleet_->world.name(*paused) + " is resumed");
+    Log(fleet_->world.name(*paused) + " is resumed");
     fleet_->world.Resume(*paused);
   });
 }
@@ -119,34 +121,34 @@
       side.insert(member);
   }
   fleet_->world.At(at, [this, side] {
-    Say("split");
+    Log("network split");
     fleet_->world.Split(side);
   });
   fleet_->world.At(at + duration, [this] {
-    Say("mended");
-    fleet_->world.Mend();
+    Log("network healed");
+    fleet_->world.Heal();
   });
 }
 
 void BudgetScenario::PlanCut(Micros at, int member, Micros duration) {
   const int to = static_cast<int>(random_(stated_members_ + 1));
   fleet_->world.At(at, [this, member, to] {
-    Say("cut from " + fleet_->world.name(member) + " to " + fleet_->world.name(to));
+    Log("cut from " + fleet_->world.name(member) + " to " + fleet_->world.name(to));
     fleet_->world.Cut(member, to);
   });
-  fleet_->world.At(at + duration, [this] { fleet_->world.Mend(); });
+  fleet_->world.At(at + duration, [this] { fleet_->world.Heal(); });
 }
 
 void BudgetScenario::PlanRelease(Micros at, int member, Micros duration) {
   fleet_->world.At(at, [this, member] {
-    if (!fleet_->world.Runs(member) || fleet_->world.Stands(member))
+    if (!fleet_->world.IsRunning(member) || fleet_->world.IsPaused(member))
       return;
-    Say(fleet_->world.name(member) + " releases its quota");
+    Log(fleet_->world.name(member) + " releases its quota");
     fleet_->world.ReleaseQuota(member);
   });
   fleet_->world.At(at + duration, [this, member] {
     Kill(member);
-    Begin(member);
+    Start(member);
   });
 }
 
@@ -156,38 +158,38 @@
 }
 
 void BudgetScenario::Kill(int member) {
-  Say(fleet_->world.name(member) + " dies");
+  Log(fleet_->world.name(member) + " dies");
   fleet_->world.Kill(member);
 }
 
-void BudgetScenario::Begin(int member) {
-  if (fleet_->world.Runs(member))
+void BudgetScenario::Start(int member) {
+  if (fleet_->world.IsRunning(member))
     return;
-  Say(fleet_->world.name(member) + " begins");
-  fleet_->world.Begin(member);
+  Log(fleet_->world.name(member) + " starts");
+  fleet_->world.Start(member);
 }
 
-void BudgetScenario::MendAll() {
+void BudgetScenario::RepairAll() {
   tools::VirtualBudgets& world = fleet_->world;
-  world.Mend();
+  world.Heal();
   world.SetNetwork({});
   if (!fleet_->RunUntil(kFaultPeriod + 9 * kSecond))
-    return;  // the rest of the plan
+    return;  // this ran the rest of the plan
   for (int i = 0; i <= stated_members_; ++i) {
     world.Resume(i);
     if (i < stated_members_)
-      Begin(i);
+      Start(i);
     fleet_->offered[i] = 40;
   }
-  world.Mend();
-  Say("all faults are mended");
-  // Long enough for a lease, for the end of what others may still have, and for some requests.
+  world.Heal();
+  Log("all faults are repaired");
+  // Long enough for a new lease, for the expiry of all old grants, and for some requests.
   if (!fleet_->RunUntil(world.now() + 20 * kSecond))
     return;
-  if (fleet_->Allowed(kMail) < 0.9 * fleet_->Whole(kMail))
-    fleet_->broken = "the rate was not granted again after the faults";
-  if (fleet_->Allowed(kSlots) < 0.75 * fleet_->Whole(kSlots))
-    fleet_->broken = "the slots were not granted again after the faults";
+  if (fleet_->Allowed(kMail) < 0.9 * fleet_->Total(kMail))
+    fleet_->violation = "the rate was not granted again after the faults";
+  if (fleet_->Allowed(kSlots) < 0.75 * fleet_->Total(kSlots))
+    fleet_->violation = "the slots were not granted again after the faults";
 }
 
 }  // namespace aldersill::tests
--- a/tests/budgets/budget_scenario.h
+++ b/tests/budgets/budget_scenario.h
@@ -1,6 +1,6 @@
-// One random scenario for a fleet with budgets, drawn from a seed: a number of members, a network with
-// faults, and a plan of deaths, restarts, pauses, splits, cuts, departures and shifts of traffic. Then every
-// fault is mended, and the budgets must be in use again.
+// A random scenario for a fleet with budgets, drawn from a seed: a number of members, a network with faults,
+// and a plan of deaths, restarts, pauses, splits, cuts, releases and changes of traffic. After the plan all
+// faults are repaired, and the budgets must be in use again.
 #ifndef ALDERSILL_TESTS_BUDGETS_BUDGET_SCENARIO_H_
 #define ALDERSILL_TESTS_BUDGETS_BUDGET_SCENARIO_H_
 
@@ -17,14 +17,15 @@
  public:
   BudgetScenario(std::uint64_t seed, bool verbose);
 
-  // The broken promise; empty if all were kept.
+  // Returns the first violation; empty if there was none.
   std::string Play();
   Fleet& fleet() { return *fleet_; }
 
  private:
-  void Say(const std::string& what) const;
+  // Prints `what` with the virtual time, if verbose.
+  void Log(const std::string& what) const;
 
-  // The plan of faults; each draws its parameters when it is planned.
+  // Schedules the faults. Each draws its parameters when it is scheduled.
   void PlanFaults();
   void PlanDeath(Micros at, int member, Micros duration);
   void PlanRestart(Micros at, int member);
@@ -35,12 +36,12 @@
   void PlanLoad(Micros at, int member);
 
   void Kill(int member);
-  void Begin(int member);
-  void MendAll();
+  void Start(int member);
+  void RepairAll();
 
   const bool verbose_;
   pcg32 random_;
-  int stated_members_ = 0;  // `instances` of the settings; one more may begin
+  int stated_members_ = 0;  // `instances` of the settings; one more may start
   std::unique_ptr<Fleet> fleet_;
 };
 
--- a/tests/budgets/digests.cpp
+++ b/tests/budgets/digests.cpp
@@ -19,12 +19,12 @@
 void Add(RunDigest& digest, const duties::LeaseLost& lost) { digest.Add(lost.term); }
 void Add(RunDigest& digest, const budgets::SendQuotaRequest& send) {
   digest.Add(send.to);
-  digest.Add(budgets::Encode(send.ask));
+  digest.Add(budgets::Encode(send.request));
 }
 void Add(RunDigest& digest, const budgets::QuotaClientFailed& failed) { digest.Add(failed.error.text()); }
 void Add(RunDigest& digest, const budgets::SendQuotaGrant& send) {
   digest.Add(send.to);
-  digest.Add(budgets::Encode(send.answer));
+  digest.Add(budgets::Encode(send.grant));
 }
 void Add(RunDigest& digest, const budgets::QuotaAllocatorFailed& failed) { digest.Add(failed.error.text()); }
 
--- a/tests/budgets/search.cpp
+++ b/tests/budgets/search.cpp
@@ -10,14 +10,14 @@
   std::int64_t starts = 0;
   double burst = 0;
   tests::SeedSearch search;
-  search.description = "Searches seeds for a run in which a fleet goes beyond a budget.";
+  search.description = "Searches seeds for a run in which a fleet exceeds a budget.";
   search.play = [&](std::uint64_t seed, bool verbose) {
     tests::BudgetScenario scenario(seed, verbose);
-    std::string broken = scenario.Play();
+    std::string violation = scenario.Play();
     for (const std::int64_t served : scenario.fleet().served)
       starts += served;
-    burst = std::max(burst, scenario.fleet().WorstBurst());
-    return broken;
+    burst = std::max(burst, scenario.fleet().LargestBurst());
+    return violation;
   };
   search.summary = [&] {
     char text[100];
--- a/tests/models/budgets.pml
+++ b/tests/models/budgets.pml
@@ -1,19 +1,22 @@
-/* The dealing of src/budgets, for spin: can all together ever have more than the whole?
+/* A model of the allocation in src/budgets, for spin: can all instances together ever have more than the total?
  *
- * Two who deal, one after another as the lease has it (an earlier one may stand still and act late, by what it then
- * believes), and two who use. Time is ticks that all count down by; the margin for drifting clocks is here that a grant
- * ends a tick earlier at its user than at the dealer. An ask shows what is had; each user has one ask at each dealer
- * under way, which may be read late, or twice, after later ones have been sent; an answer likewise, or never.
+ * There are two allocators ("Dealer"), one after the other as the lease has it; the earlier one may be stopped and act
+ * late, by what it remembers. There are two quota clients ("User"). Time is ticks, and every timer counts down by them.
+ * The margin for the drift of clocks is modelled by a grant that expires a tick earlier at its client than at the
+ * allocator. A request ("ask") reports the share that the client holds. Each client has one request under way to each
+ * allocator; it may be read late, or twice, after later ones have been sent. A grant ("answer") may arrive late, twice
+ * or never.
  *
- * Each of BROKEN_LEARN (a new dealer deals at once), BROKEN_FIRST (gives before it has taken back), BROKEN_LAST (an
- * answer to an earlier ask is taken), BROKEN_END (a user uses what has ended) and BROKEN_ASKED (a dealer that stood
- * still deals without asking its lease) must be found out by spin; tests/models/check.sh sees to it. */
+ * spin must find an error in each of these variants, and tests/models/check.sh checks that it does: BROKEN_LEARN (a new
+ * allocator grants without a learning time), BROKEN_FIRST (it grants a share before it has been given back), BROKEN_LAST
+ * (a client accepts the answer to an earlier request), BROKEN_END (a client uses an expired share) and BROKEN_ASKED (an
+ * allocator that was stopped grants without asking its lease). */
 
 #ifndef WHOLE
 #define WHOLE 2
 #endif
 #ifndef D
-#define D 2  /* how long a dealer counts a grant; its user has it a tick less */
+#define D 2  /* how many ticks an allocator counts a grant; at its client it expires a tick earlier */
 #endif
 #ifndef ASKS
 #define ASKS 3
@@ -21,18 +24,19 @@
 
 #define U(d, u) ((d) * 2 + (u))
 
-/* Users. */
+/* Quota clients: the share held, the ticks until it expires, the number and age of the last request, and the allocator
+ * that it was sent to. */
 byte share[2], ends[2], number[2], age[2], to[2];
-/* What is under way from and to each, for each dealer: the last one sent there. */
+/* The messages under way between each client and each allocator: only the last one in each direction. */
 byte ask_number[4], ask_share[4];
 byte answer_number[4], answer_share[4];
 bool answer_renews[4];
-bool waits[2];  /* the last ask has not been answered */
-/* Dealers: what counts as out, for how long, and the last ask heard of each. */
+bool waits[2];  /* the last request has not been answered */
+/* Allocators, for each client: the outstanding share, the ticks until it expires, and the last request that was read. */
 byte out[4], left[4], heard[4];
 byte learning[2];
-byte holder;      /* 0, 1: who holds by the lease; 2: nobody */
-bool believes[2]; /* what a dealer remembers */
+byte holder;      /* the allocator that holds the lease, 0 or 1; 2: none */
+bool believes[2]; /* whether an allocator remembers holding the lease */
 
 #define HAS(u) ((ends[u] > 0) -> share[u] : 0)
 inline never_more() { assert(HAS(0) + HAS(1) <= WHOLE) }
@@ -64,10 +68,10 @@
        number[me]++; age[me] = 0; waits[me] = true; to[me] = d;
        ask_number[U(d, me)] = number[me]; ask_share[U(d, me)] = HAS(me);
 #ifndef BROKEN_LAST
-       forget(0, me); forget(1, me);  /* what cannot be taken any more, so that states are one */
+       forget(0, me); forget(1, me);  /* drops answers that would be ignored, so that spin merges equal states */
 #endif
        d = 0 }
-  :: atomic { true ->  /* an answer comes, or comes again */
+  :: atomic { true ->  /* an answer arrives, or arrives again */
        if :: d = 0 :: d = 1 fi;
        if
 #ifdef BROKEN_LAST
@@ -79,7 +83,7 @@
             :: answer_renews[U(d, me)] && answer_share[U(d, me)] > HAS(me) -> share[me] = HAS(me)
             :: else -> share[me] = answer_share[U(d, me)]
             fi;
-            /* From its asking on. */
+            /* The duration counts from the sending of the request. */
             ends[me] = ((age[me] < D - 1) -> D - 1 - age[me] : 0);
             if :: ends[me] == 0 -> share[me] = 0 :: else fi;
             waits[me] = false;
@@ -138,7 +142,8 @@
 proctype World() {
   do
   :: atomic { true -> tick() }
-  :: atomic { holder == 2 && !believes[1] ->  /* the second takes the duty; the first may still believe that it has it */
+  /* The second allocator acquires the lease; the first may still believe that it holds it. */
+  :: atomic { holder == 2 && !believes[1] ->
        holder = 1; believes[1] = true;
 #ifndef BROKEN_LEARN
        learning[1] = D
--- a/tools/virtual_budgets/budget_table.cpp
+++ b/tools/virtual_budgets/budget_table.cpp
@@ -1,5 +1,6 @@
-// How well a whole is used and how soon it is divided anew, at several sizes, beside a fixed division and one
-// that sees everything. Prints the rows of the table in docs/budgets.md.
+// Measures how much of a budget is used and how fast it is divided again after changes, for several numbers
+// of instances, and compares this with a fixed division and with the best division. Prints the rows of the
+// table in docs/budgets.md.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cmath>
@@ -13,20 +14,20 @@
 namespace {
 
 constexpr Micros kStep = 10 * kMillisecond;
-constexpr double kWhole = 3'000;  // starts a second
+constexpr double kTotal = 3'000;  // starts per second; the total of the budget
 
-struct Choices {
+struct Parameters {
   std::uint64_t seed = 1;
   int stated = 300;
-  Micros grant = 6 * kSecond, lease = 3 * kSecond;
+  Micros grant_duration = 6 * kSecond, lease = 3 * kSecond;
   double loss = 0.0;
 };
 
-// Shares of one that sees all demands: nobody has less than another and wants more.
-std::vector<double> SeesEverything(const std::vector<double>& demands) {
+// The max-min fair shares for known demands.
+std::vector<double> OptimalShares(const std::vector<double>& demands) {
   std::vector<double> sorted = demands;
   std::sort(sorted.begin(), sorted.end());
-  double left = kWhole, level = 0;
+  double left = kTotal, level = 0;
   for (std::size_t i = 0; i < sorted.size(); ++i) {
     level = left / static_cast<double>(sorted.size() - i);
     if (sorted[i] >= level)
@@ -41,49 +42,57 @@
   return shares;
 }
 
+// Jain's fairness index: 1 if all values are equal, 1 / n if all but one are 0.
 double Jain(const std::vector<double>& x) {
   double sum = 0, squares = 0;
-  for (const double v : x)
-    sum += v, squares += v * v;
+  for (const double v : x) {
+    sum += v;
+    squares += v * v;
+  }
   return squares > 0 ? sum * sum / (static_cast<double>(x.size()) * squares) : 1.0;
 }
 
-class Trial {
+// A fleet of `n` instances that start, and `more` that the caller may start later.
+class Simulation {
  public:
-  Trial(const Choices& c, int n, int more = 0) : n_(n), world(Options(c, n + more)) {
+  Simulation(const Parameters& c, int n, int more = 0) : n_(n), world(Options(c, n + more)) {
     demands.assign(static_cast<std::size_t>(n) + static_cast<std::size_t>(more), 0.0);
-    served.assign(demands.size(), 0.0), owed_ = served;
+    served.assign(demands.size(), 0.0);
+    due_arrivals_ = served;
     for (int i = 0; i < n; ++i)
-      world.At(static_cast<Micros>(world.random()(1'000'000)), [this, i] { world.Begin(i); });
+      world.At(static_cast<Micros>(world.random()(1'000'000)), [this, i] { world.Start(i); });
   }
 
-  void Run(Micros lasts, const std::function<bool()>& until = nullptr) {
-    const Micros end = world.now() + lasts;
+  // Runs for `duration`, or until `until` returns true.
+  void Run(Micros duration, const std::function<bool()>& until = nullptr) {
+    const Micros end = world.now() + duration;
     while (world.now() < end && !(until && until())) {
       world.RunUntil(world.now() + kStep);
       for (int i = 0; i < world.size(); ++i) {
-        if (!world.Runs(i))
+        if (!world.IsRunning(i))
           continue;
-        // Arrivals are even, from a phase of their own.
-        owed_[i] += demands[i] * static_cast<double>(kStep) / kSecond;
-        for (; owed_[i] >= 1; --owed_[i])
+        // Arrivals are evenly spaced. Their phase follows from the time at which the instance started.
+        due_arrivals_[i] += demands[i] * static_cast<double>(kStep) / kSecond;
+        for (; due_arrivals_[i] >= 1; --due_arrivals_[i])
           served[i] += world.Take(i, 0) ? 1 : 0;
       }
     }
   }
-  double Used(Micros lasts) {
+  // Runs for `duration` and returns which fraction of the budget was used.
+  double MeasureUsed(Micros duration) {
     served.assign(served.size(), 0.0);
-    Run(lasts);
+    Run(duration);
     double sum = 0;
     for (const double s : served)
       sum += s;
-    return sum / (kWhole * static_cast<double>(lasts) / kSecond);
+    return sum / (kTotal * static_cast<double>(duration) / kSecond);
   }
+  // In starts per second.
   double Allowed(int i) const {
-    if (!world.Runs(i) || world.Stands(i))
+    if (!world.IsRunning(i) || world.IsPaused(i))
       return 0;
     return static_cast<double>(world.quota_client(i).Allowed(world.LocalTime(i), "mail")) /
-           budgets::kUnitsAStart;
+           budgets::kUnitsPerStart;
   }
   double AllAllowed() const {
     double sum = 0;
@@ -91,95 +100,104 @@
       sum += Allowed(i);
     return sum;
   }
-  // In seconds; below 0 where it did not come about.
-  double Until(const std::function<bool()>& what) {
+  // Runs until `condition` is true, and returns how many seconds that took; -1 if it was not true within 60
+  // s.
+  double TimeUntil(const std::function<bool()>& condition) {
     const Micros from = world.now();
     bool done = false;
-    Run(60 * kSecond, [&] { return done = what(); });
+    Run(60 * kSecond, [&] { return done = condition(); });
     return done ? static_cast<double>(world.now() - from) / kSecond : -1;
   }
-  void Even(double times) { demands.assign(demands.size(), times * kWhole / n_); }
+  // Gives all instances the same demand, together `times` the budget.
+  void SetEvenDemand(double times) { demands.assign(demands.size(), times * kTotal / n_); }
 
  private:
-  static VirtualBudgets::Options Options(const Choices& c, int n) {
+  static VirtualBudgets::Options Options(const Parameters& c, int n) {
     VirtualBudgets::Options o;
-    o.seed = c.seed, o.instances = n;
+    o.seed = c.seed;
+    o.instances = n;
     o.network.loss = c.loss;
-    o.drift = 0.01, o.clocks_apart = 200 * kMillisecond;
-    o.lease = c.lease, o.count_bytes = true;
-    o.settings.grant = c.grant, o.settings.instances = c.stated;
-    o.settings.budgets = {{"mail", budgets::Kind::kRate, static_cast<budgets::Units>(kWhole * 1e6),
+    o.max_drift = 0.01;
+    o.max_clock_offset = 200 * kMillisecond;
+    o.lease = c.lease;
+    o.count_bytes = true;
+    o.settings.grant_duration = c.grant_duration;
+    o.settings.instances = c.stated;
+    o.settings.budgets = {{"mail", budgets::Kind::kRate, static_cast<budgets::Units>(kTotal * 1e6),
                            std::int64_t{2} * c.stated, 0, 0, 0.02}};
     return o;
   }
   const int n_;
-  std::vector<double> owed_;
+  std::vector<double> due_arrivals_;
 
  public:
   VirtualBudgets world;
   std::vector<double> demands, served;
 };
 
-constexpr Micros kWarm = 30 * kSecond;
+constexpr Micros kWarmUp = 30 * kSecond;
 
-// What the run under even demand tells for later columns.
+// Results of the run under even demand, for later columns.
 struct SteadyCost {
-  double start = 0;           // seconds until 95 % of the whole were allowed
-  double requests = 0;        // a second
-  double bytes = 0;           // a second
-  double allocator_busy = 0;  // of a second
+  double start = 0;           // seconds until 95 % of the budget were allowed
+  double requests = 0;        // per second
+  double bytes = 0;           // per second
+  double allocator_busy = 0;  // seconds of real time per second
 };
 
-// Share used and evenness.
-SteadyCost PrintEvenDemand(const Choices& c, int n) {
-  Trial even(c, n);
-  even.Even(2.0);
+// Prints the fraction of the budget that is used, and how evenly.
+SteadyCost PrintEvenDemand(const Parameters& c, int n) {
+  Simulation even(c, n);
+  even.SetEvenDemand(2.0);
   SteadyCost cost;
-  cost.start = even.Until([&] { return even.AllAllowed() >= 0.95 * kWhole; });
-  even.Run(kWarm);
+  cost.start = even.TimeUntil([&] { return even.AllAllowed() >= 0.95 * kTotal; });
+  even.Run(kWarmUp);
   even.world.packets = even.world.bytes = 0;
-  even.world.grantor_seconds = 0, even.world.grantor_asks = 0;
-  const double used = even.Used(20 * kSecond);
+  even.world.allocator_seconds = 0;
+  even.world.allocator_requests = 0;
+  const double used = even.MeasureUsed(20 * kSecond);
   std::printf(" %.3f, %.4f |", used, Jain(even.served));
-  cost.allocator_busy = even.world.grantor_seconds / 20;
-  cost.requests = static_cast<double>(even.world.grantor_asks) / 20;
+  cost.allocator_busy = even.world.allocator_seconds / 20;
+  cost.requests = static_cast<double>(even.world.allocator_requests) / 20;
   cost.bytes = static_cast<double>(even.world.bytes) / 20;
   return cost;
 }
 
-// Demand by Zipf's law, beside the best division and fixed shares.
-void PrintZipfDemand(const Choices& c, int n) {
-  Trial zipf(c, n);
+// Prints the use under demand by Zipf's law, and that of fixed shares and of the best division.
+void PrintZipfDemand(const Parameters& c, int n) {
+  Simulation zipf(c, n);
   double harmonic = 0;
   for (int k = 1; k <= n; ++k)
     harmonic += 1.0 / k;
   for (int k = 1; k <= n; ++k)
-    zipf.demands[k - 1] = 1.5 * kWhole / k / harmonic;
-  zipf.Run(kWarm);
-  const double used = zipf.Used(20 * kSecond);
-  const std::vector<double> best = SeesEverything(zipf.demands);
+    zipf.demands[k - 1] = 1.5 * kTotal / k / harmonic;
+  zipf.Run(kWarmUp);
+  const double used = zipf.MeasureUsed(20 * kSecond);
+  const std::vector<double> best = OptimalShares(zipf.demands);
   std::vector<double> part;
   double fixed = 0, all = 0;
   for (int i = 0; i < n; ++i) {
     part.push_back(zipf.served[i] / (20 * best[i]));
-    fixed += std::min(zipf.demands[i], kWhole / n), all += best[i];
+    fixed += std::min(zipf.demands[i], kTotal / n);
+    all += best[i];
   }
-  std::printf(" %.3f, %.4f | %.3f | %.3f |", used, Jain(part), fixed / kWhole, all / kWhole);
+  std::printf(" %.3f, %.4f | %.3f | %.3f |", used, Jain(part), fixed / kTotal, all / kTotal);
 }
 
-void PrintSingleDemand(const Choices& c, int n) {
-  Trial one(c, n);
-  one.demands[static_cast<std::size_t>(n / 2)] = 2 * kWhole;
-  one.Run(kWarm);
-  std::printf(" %.3f, %.3f |", one.Used(20 * kSecond), 1.0 / n);
+// Prints the use if all demand is at one instance, and that of fixed shares.
+void PrintSingleDemand(const Parameters& c, int n) {
+  Simulation one(c, n);
+  one.demands[static_cast<std::size_t>(n / 2)] = 2 * kTotal;
+  one.Run(kWarmUp);
+  std::printf(" %.3f, %.3f |", one.MeasureUsed(20 * kSecond), 1.0 / n);
 }
 
-// Of three in ten members each is away for 5 s of 30 s: every other one releases its quota first, the rest
-// die.
-void PrintChurn(const Choices& c, int n) {
-  Trial churn(c, n);
-  churn.Even(3.0);
-  churn.Run(kWarm);
+// Prints the use while three in ten members are each away for 5 s of every 30 s: one of the three releases
+// its quota first, the others die.
+void PrintChurn(const Parameters& c, int n) {
+  Simulation churn(c, n);
+  churn.SetEvenDemand(3.0);
+  churn.Run(kWarmUp);
   for (int i = 0; i < n; ++i) {
     if (i % 10 != 1 && i % 10 != 4 && i % 10 != 7)
       continue;
@@ -190,25 +208,27 @@
           churn.world.ReleaseQuota(i);
       });
       churn.world.At(at + 50 * kMillisecond, [&, i] { churn.world.Kill(i); });
-      churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Begin(i); });
+      churn.world.At(at + 5 * kSecond, [&, i] { churn.world.Start(i); });
     }
   }
-  std::printf(" %.3f |", churn.Used(60 * kSecond));
+  std::printf(" %.3f |", churn.MeasureUsed(60 * kSecond));
 }
 
-void PrintJoin(const Choices& c, int n) {
-  Trial join(c, n, 1);
-  join.Even(2.0);
-  join.Run(kWarm);
-  join.world.Begin(n);
-  std::printf(" %.1f |", join.Until([&] { return join.Allowed(n) >= 0.9 * kWhole / (n + 1); }));
+// Prints the seconds until an instance that joins is allowed 90 % of its even share.
+void PrintJoin(const Parameters& c, int n) {
+  Simulation join(c, n, 1);
+  join.SetEvenDemand(2.0);
+  join.Run(kWarmUp);
+  join.world.Start(n);
+  std::printf(" %.1f |", join.TimeUntil([&] { return join.Allowed(n) >= 0.9 * kTotal / (n + 1); }));
 }
 
-// A third of the members go, none of them the lease holder.
-void PrintDepartures(const Choices& c, int n, bool gives_back) {
-  Trial go(c, n);
-  go.Even(3.0);
-  go.Run(kWarm);
+// Prints the seconds until 95 % of the budget are allowed after a third of the members, without the lease
+// holder, have left or died.
+void PrintDepartures(const Parameters& c, int n, bool gives_back) {
+  Simulation go(c, n);
+  go.SetEvenDemand(3.0);
+  go.Run(kWarmUp);
   const int holder = go.world.Holder().value_or(0);
   const int gone = std::max(1, n / 3);
   for (int i = n - 1, left = gone; i >= 0 && left > 0; --i) {
@@ -220,32 +240,35 @@
     go.world.At(go.world.now() + 50 * kMillisecond, [&, i] { go.world.Kill(i); });
   }
   go.Run(60 * kMillisecond);
-  std::printf(" %.1f |", 0.06 + go.Until([&] { return go.AllAllowed() >= 0.95 * kWhole; }));
+  std::printf(" %.1f |", 0.06 + go.TimeUntil([&] { return go.AllAllowed() >= 0.95 * kTotal; }));
 }
 
-void PrintLostHolder(const Choices& c, int n) {
-  Trial lost(c, n, 1);
-  lost.Even(2.0);
-  lost.Run(kWarm);
+// Kills the lease holder while an instance joins: prints the seconds until that instance is allowed 90 % of
+// its even share, and the smallest fraction of the budget that was allowed until then.
+void PrintLostHolder(const Parameters& c, int n) {
+  Simulation lost(c, n, 1);
+  lost.SetEvenDemand(2.0);
+  lost.Run(kWarmUp);
   lost.world.Kill(lost.world.Holder().value_or(0));
-  lost.world.Begin(n);
-  double least = kWhole;
-  const double regained = lost.Until([&] {
+  lost.world.Start(n);
+  double least = kTotal;
+  const double regained = lost.TimeUntil([&] {
     least = std::min(least, lost.AllAllowed());
-    return lost.Allowed(n) >= 0.9 * kWhole / n;
+    return lost.Allowed(n) >= 0.9 * kTotal / n;
   });
-  std::printf(" %.1f, %.2f |", regained, least / kWhole);
+  std::printf(" %.1f, %.2f |", regained, least / kTotal);
 }
 
-void PrintMovedDemand(const Choices& c, int n) {
-  Trial moves(c, n);
-  moves.demands[0] = 0.9 * kWhole;
-  moves.Run(kWarm);
+// Prints the seconds until the share follows when all demand moves from one instance to another.
+void PrintMovedDemand(const Parameters& c, int n) {
+  Simulation moves(c, n);
+  moves.demands[0] = 0.9 * kTotal;
+  moves.Run(kWarmUp);
   std::swap(moves.demands[0], moves.demands[1]);
-  std::printf(" %.1f |", moves.Until([&] { return moves.Allowed(1) >= 0.85 * kWhole; }));
+  std::printf(" %.1f |", moves.TimeUntil([&] { return moves.Allowed(1) >= 0.85 * kTotal; }));
 }
 
-void Row(const Choices& c, int n) {
+void Row(const Parameters& c, int n) {
   std::printf("| %d |", n);
   const SteadyCost cost = PrintEvenDemand(c, n);
   PrintZipfDemand(c, n);
@@ -267,18 +290,21 @@
 
 int main(int argc, char** argv) {
   using namespace aldersill;
-  CLI::App app("How well a whole is used, and how soon it is divided anew, at several sizes.");
+  CLI::App app(
+      "Measures how much of a budget is used and how fast it is divided again, for several numbers of "
+      "instances.");
   std::vector<int> sizes = {3, 12, 30, 100, 300};
-  tools::Choices c;
+  tools::Parameters c;
   Micros grant_ms = 6'000, lease_ms = 3'000;
   app.add_option("--sizes", sizes, "Numbers of instances")->delimiter(',');
   app.add_option("--stated", c.stated, "The number of instances in the settings");
   app.add_option("--grant-ms", grant_ms, "How long a grant lasts");
   app.add_option("--lease-ms", lease_ms, "How long the duty's lease lasts");
-  app.add_option("--loss", c.loss, "Of packets");
-  app.add_option("--seed", c.seed, "Another run");
+  app.add_option("--loss", c.loss, "Fraction of packets that are lost");
+  app.add_option("--seed", c.seed, "Seed of the run");
   CLI11_PARSE(app, argc, argv);
-  c.grant = grant_ms * kMillisecond, c.lease = lease_ms * kMillisecond;
+  c.grant_duration = grant_ms * kMillisecond;
+  c.lease = lease_ms * kMillisecond;
   std::printf(
       "| instances | even: used, Jain | Zipf: used, Jain | Zipf, fixed | Zipf, sees all | all at one: used, "
       "fixed "
--- a/tools/virtual_budgets/virtual_budgets.h
+++ b/tools/virtual_budgets/virtual_budgets.h
@@ -1,6 +1,6 @@
-// Many instances with the lease of the duty `budgets`, a purse and a grantor each, in one process and in
-// virtual time, over a network that loses, delays, doubles and reorders, that can be cut or split, among
-// instances that stand still, die and come back. The same seed gives the same run.
+// Simulates many instances in one process and in virtual time, each with a lease of the duty `budgets`, a
+// quota client and a quota allocator. The network loses, delays, duplicates and reorders packets, and links
+// can be cut. Instances can be paused, killed and restarted. The same seed gives the same run.
 #ifndef ALDERSILL_TOOLS_VIRTUAL_BUDGETS_VIRTUAL_BUDGETS_H_
 #define ALDERSILL_TOOLS_VIRTUAL_BUDGETS_VIRTUAL_BUDGETS_H_
 
@@ -26,10 +26,11 @@
 namespace aldersill::tools {
 
 struct BudgetNetwork {
-  double loss = 0.0, doubled = 0.0;
-  Micros delay_least = 200, delay_most = 2 * kMillisecond;
-  double slow = 0.0;  // this part takes up to `slow_most`, so that later ones overtake it
-  Micros slow_most = 0;
+  // Probabilities for each packet.
+  double loss = 0.0, duplicated = 0.0;
+  Micros min_delay = 200, max_delay = 2 * kMillisecond;
+  double slow = 0.0;  // this fraction is delayed by up to `max_slow_delay`, so that later ones overtake it
+  Micros max_slow_delay = 0;
 };
 
 class VirtualBudgets {
@@ -37,122 +38,134 @@
   struct Options {
     std::uint64_t seed = 1;
     int instances = 3;
-    int voters = 3;
+    int voters = 3;  // the lease is among the first `voters` instances
     BudgetNetwork network;
-    budgets::Settings settings;  // of each; name, epoch and seat are filled in
-    Micros lease = 4 * kSecond;
-    double drift = 0.0;        // of a clock, drawn from either side
-    Micros clocks_apart = 0;   // how far they are apart
-    bool count_bytes = false;  // of what goes between instances
+    budgets::Settings settings;   // of each instance; name, epoch and seat are filled in
+    Micros lease = 4 * kSecond;   // duration of the lease
+    double max_drift = 0.0;       // largest error of a clock's rate in either direction; each is drawn
+    Micros max_clock_offset = 0;  // each clock is ahead of the earliest possible one by less than this
+    bool count_bytes = false;     // whether `bytes` counts the encoded requests and grants
   };
   explicit VirtualBudgets(Options options);
 
   int size() const { return static_cast<int>(instances_.size()); }
+  // The virtual time, which stands for true time, in microseconds from 0.
   Micros now() const { return now_; }
+  // What the clock of instance `i` shows, as Unix time.
   Micros LocalTime(int i) const;
   std::string name(int i) const { return "n" + std::to_string(i); }
-  void SetClock(int i, double rate) { instances_[i].rate = rate; }  // before it begins
+  // Must be called before the instance is started.
+  void SetClock(int i, double rate) { instances_[i].clock_rate = rate; }
   void SetSeat(int i, int seat) { instances_[i].seat = seat; }
 
-  void Begin(int i);
+  void Start(int i);
   void Kill(int i);
-  void Pause(int i) { instances_[i].paused = Runs(i); }
+  // A paused instance handles nothing, as under SIGSTOP. Packets for it are kept, up to the size of a socket
+  // buffer, until Resume().
+  void Pause(int i) { instances_[i].paused = IsRunning(i); }
   void Resume(int i);
   void ReleaseQuota(int i);
-  bool Runs(int i) const { return instances_[i].quota_client != nullptr; }
-  bool Stands(int i) const { return instances_[i].paused; }
+  bool IsRunning(int i) const { return instances_[i].quota_client != nullptr; }
+  bool IsPaused(int i) const { return instances_[i].paused; }
+  // Loses all packets from `from` to `to`, until Heal().
   void Cut(int from, int to) { cuts_.insert({from, to}); }
+  // Cuts all links between the instances of `side` and the others, in both directions.
   void Split(const std::set<int>& side);
-  void Mend() { cuts_.clear(); }
-  void SetNetwork(const BudgetNetwork& network) { o_.network = network; }
+  void Heal() { cuts_.clear(); }
+  void SetNetwork(const BudgetNetwork& network) { options_.network = network; }
 
-  void At(Micros time, std::function<void()> what) { Push(time, -1, Script{std::move(what)}); }
+  // Calls `action` at the virtual time `time`.
+  void At(Micros time, std::function<void()> action) { Push(time, -1, Script{std::move(action)}); }
   void RunUntil(Micros time);
 
-  // What a front does at an instance that runs; an instance that stands still or is dead serves nobody.
+  // The calls of a frontend at a running instance. A paused or dead instance takes nothing.
   bool Take(int i, std::size_t budget, std::int64_t count = 1);
-  void Free(int i, std::size_t budget, int life, std::int64_t count = 1);
-  void Waiting(int i, std::size_t budget, std::int64_t count);
+  void Free(int i, std::size_t budget, int incarnation, std::int64_t count = 1);
+  void SetWaiting(int i, std::size_t budget, std::int64_t count);
 
   const budgets::QuotaClient& quota_client(int i) const { return *instances_[i].quota_client; }
   const budgets::QuotaAllocator& quota_allocator(int i) const { return *instances_[i].quota_allocator; }
-  int life(int i) const { return instances_[i].life; }
-  std::optional<int> Holder() const;  // by its own clock
+  int incarnation(int i) const { return instances_[i].incarnation; }
+  std::optional<int> Holder() const;  // the instance that is the holder by its own clock
   pcg32& random() { return random_; }
-  double Share() { return static_cast<double>(random_()) / 4294967296.0; }
+  // Uniform in [0, 1).
+  double RandomFraction() { return static_cast<double>(random_()) / 4294967296.0; }
 
-  std::function<void(int)> on_answer;  // an instance was granted anew
+  // Called after an instance has handled a grant.
+  std::function<void(int)> on_grant;
   std::function<void(int, const budgets::Error&)> on_error;
-  // Takes part in what is sent: return false to lose it.
-  std::function<bool(int, int, const budgets::QuotaRequest&)> on_ask;
+  // Called for each request with sender and receiver; false drops the request.
+  std::function<bool(int, int, const budgets::QuotaRequest&)> on_request;
 
-  // Every effect of the three cores, before it is carried out.
+  // Called with each effect of the three reducers before it is carried out.
   std::function<void(int, const duties::LeaseEffect&)> on_lease_effect;
   std::function<void(int, const budgets::QuotaClientEffect&)> on_quota_client_effect;
   std::function<void(int, const budgets::QuotaAllocatorEffect&)> on_quota_allocator_effect;
 
+  // Requests and grants sent.
   std::uint64_t packets = 0, bytes = 0;
-  // What the grantors' own work took of real time, and how many asks that was.
-  double grantor_seconds = 0;
-  std::uint64_t grantor_asks = 0;
+  // Real time that the quota allocators spent on requests, and the number of these requests.
+  double allocator_seconds = 0;
+  std::uint64_t allocator_requests = 0;
 
  private:
-  struct TimerRings {
-    std::uint64_t setting = 0;
+  struct TimerExpiry {
+    std::uint64_t timer_generation = 0;
   };
-  struct HoldsNow {
+  struct LeaseAnnouncement {
     std::uint64_t term = 0;
   };
-  struct Announce {};
-  struct Arrives {
+  struct Announce {};  // time for the holder to announce itself
+  struct PacketArrival {
     int from = 0;
-    std::variant<duties::LeaseMessage, budgets::QuotaRequest, budgets::QuotaGrant, HoldsNow> message;
+    std::variant<duties::LeaseMessage, budgets::QuotaRequest, budgets::QuotaGrant, LeaseAnnouncement> message;
   };
-  struct Freed {
+  struct SlotsFreed {
     std::size_t budget = 0;
     std::int64_t count = 0;
   };
   struct Script {
-    std::function<void()> what;
+    std::function<void()> action;
   };
-  using What = std::variant<TimerRings, Arrives, Freed, Announce, Script>;
+  using Event = std::variant<TimerExpiry, PacketArrival, SlotsFreed, Announce, Script>;
   struct Item {
     Micros at = 0;
-    std::uint64_t number = 0;
-    int instance = -1;
-    int life = 0;
-    std::shared_ptr<const What> what;
+    std::uint64_t number = 0;  // order among items of the same time
+    int instance = -1;         // -1 for a Script
+    int incarnation = 0;
+    std::shared_ptr<const Event> event;
     bool operator>(const Item& o) const { return std::tie(at, number) > std::tie(o.at, o.number); }
   };
   struct Instance {
     std::unique_ptr<duties::Lease> lease;
     std::unique_ptr<budgets::QuotaClient> quota_client;
     std::unique_ptr<budgets::QuotaAllocator> quota_allocator;
-    int life = 0, seat = 0;
+    int incarnation = 0, seat = 0;
     bool paused = false;
-    std::deque<std::shared_ptr<const What>> held;
-    double rate = 1.0;
-    Micros ahead = 0;
-    std::uint64_t setting = 0, epoch = 0;
-    Micros rings = 0;
+    std::deque<std::shared_ptr<const Event>> pending;  // arrived while paused
+    double clock_rate = 1.0;
+    Micros clock_offset = 0;  // how far the clock was ahead at time 0
+    std::uint64_t timer_generation = 0, epoch = 0;
+    Micros timer_due = 0;  // virtual time; 0 if no timer is set
   };
 
-  void Push(Micros at, int instance, What what);
-  void Push(Micros at, int instance, std::shared_ptr<const What> what);
-  void Deliver(int i, const What& what);
-  void Hear(int i, const Arrives& arrives);
+  void Push(Micros at, int instance, Event event);
+  void Push(Micros at, int instance, std::shared_ptr<const Event> event);
+  void Deliver(int i, const Event& event);
+  void DeliverPacket(int i, const PacketArrival& arrival);
   void ToLease(int i, duties::LeaseEvent event);
   void ToQuotaClient(int i, budgets::QuotaClientEvent event);
   void ToQuotaAllocator(int i, budgets::QuotaAllocatorEvent event);
   template <typename M>
   void Send(int from, int to, M message);
-  void BroadcastResult(int i, std::uint64_t term);
+  void AnnounceLease(int i, std::uint64_t term);
   void SetTimer(int i);
-  bool Chance(double share) { return share > 0 && Share() < share; }
+  bool Chance(double probability) { return probability > 0 && RandomFraction() < probability; }
   Micros Delay();
-  static int Number(const std::string& name) { return std::stoi(name.substr(1)); }
+  // The index of the instance of this name, see name().
+  static int IndexOf(const std::string& name) { return std::stoi(name.substr(1)); }
 
-  Options o_;
+  Options options_;
   pcg32 random_;
   Micros now_ = 0;
   std::uint64_t next_number_ = 1;
