--- a/src/config/dispatch_settings_reader.cpp
+++ b/src/config/dispatch_settings_reader.cpp
@@ -146,7 +146,7 @@
 void ReadLimits(const JsonField& limits, dispatch::Settings* settings) {
   settings->probes = limits["probes"].Bool(settings->probes);
   settings->cancel = limits["cancel"].Bool(settings->cancel);
-  settings->second_copies = limits["secondCopies"].Bool(settings->second_copies);
+  settings->hedging = limits["secondCopies"].Bool(settings->hedging);
   settings->retry_after = limits["retryAfter"].Bool(settings->retry_after);
   settings->max_attempts = limits["maxAttempts"].IntAtLeast(1, settings->max_attempts);
   settings->max_retry_after = limits["maxRetryAfter"].Duration(settings->max_retry_after);
@@ -155,12 +155,12 @@
 void ReadRules(const JsonField& rules, dispatch::Settings* settings) {
   settings->answer_slack = rules["answerSlack"].Duration(settings->answer_slack);
   settings->drain_grace = rules["drainGrace"].Duration(settings->drain_grace);
-  settings->must_ask_in = rules["mustAskIn"].PositiveDuration(settings->must_ask_in);
+  settings->max_list_poll_interval = rules["mustAskIn"].PositiveDuration(settings->max_list_poll_interval);
   settings->overload_factor = rules["overloadFactor"].Number(settings->overload_factor);
   if (!(settings->overload_factor > 0.0))
     rules["overloadFactor"].ThrowBadValue("must be positive");
-  settings->fall = rules["fall"].PositiveDuration(settings->fall);
-  settings->cold_share = rules["coldShare"].Fraction(settings->cold_share);
+  settings->overload_window = rules["fall"].PositiveDuration(settings->overload_window);
+  settings->cold_capacity_share = rules["coldShare"].Fraction(settings->cold_capacity_share);
   settings->warm_after = rules["warmAfter"].Duration(settings->warm_after);
 }
 
--- a/src/core/attempt_controller.cpp
+++ b/src/core/attempt_controller.cpp
@@ -152,7 +152,7 @@
     return End(id, {.outcome = Outcome::kNotSent, .reason = StopReason::kStartWindowOver});
   // A worker that fetches its jobs and did not fetch this one in time is busy, not unreachable.
   const bool fetches = attempt->source == WorkerEndpoint::Source::kSession;
-  End(id, {.outcome = fetches ? Outcome::kFull : Outcome::kConnectFailed,
+  End(id, {.outcome = fetches ? Outcome::kRejected : Outcome::kConnectFailed,
            .reason = StopReason::kNotConnectedInTime});
 }
 
--- a/src/core/outcome.h
+++ b/src/core/outcome.h
@@ -7,7 +7,7 @@
 namespace aldersill {
 
 inline bool MayHaveRun(dispatch::Outcome outcome) {
-  return outcome != dispatch::Outcome::kFull && outcome != dispatch::Outcome::kConnectFailed &&
+  return outcome != dispatch::Outcome::kRejected && outcome != dispatch::Outcome::kConnectFailed &&
          outcome != dispatch::Outcome::kNotSent;
 }
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -49,7 +49,7 @@
 std::size_t Reducer::AvoidedWorkers() const {
   const dispatch::Dispatcher& dispatcher = dispatchers_.latest_dispatcher();
   return static_cast<std::size_t>(std::ranges::count_if(endpoints_.workers(), [&](const auto& entry) {
-    return !endpoints_.IsAvailable(entry.second) || dispatcher.Avoids(entry.first);
+    return !endpoints_.IsAvailable(entry.second) || dispatcher.IsEjected(entry.first);
   }));
 }
 
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -105,7 +105,7 @@
   attempts_.ReleaseIfAnswered(*id);
 }
 
-void RequestLifecycle::Reject(const dispatch::Refuse& refusal) {
+void RequestLifecycle::Reject(const dispatch::Reject& refusal) {
   // Every rejection carries a Retry-After. If the decision module gives none, it is the longest time that
   // clients honour.
   const Micros retry_after =
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -22,7 +22,7 @@
   void Apply(const ClientLeft& left);
 
   // The decision module's final answers. Both ignore a request that has ended.
-  void Reject(const dispatch::Refuse& refusal);
+  void Reject(const dispatch::Reject& refusal);
   void Fail(const dispatch::Fail& failure);
 
  private:
--- a/src/daemon/discovery_watcher.cpp
+++ b/src/daemon/discovery_watcher.cpp
@@ -24,12 +24,12 @@
 WatchScheduler::Settings SchedulerSettingsFrom(const Config& config) {
   using Kind = WatchScheduler::Kind;
   return {.kind = config.module.subscribe ? Kind::kPolled : Kind::kPushed,
-          .max_poll_interval = config.module.must_ask_in,
+          .max_poll_interval = config.module.max_list_poll_interval,
           .drain_grace = config.module.drain_grace};
 }
 
 PollBackoff BackoffFrom(const Config& config) {
-  return {config.module.nodes, config.module.must_ask_in / 2, config.seed};
+  return {config.module.nodes, config.module.max_list_poll_interval / 2, config.seed};
 }
 
 WatchScheduler MakeScheduler(const Config& config) {
--- a/src/dispatch/context.h
+++ b/src/dispatch/context.h
@@ -18,19 +18,19 @@
 
 // What a timer is for; the upper byte of its token. The rest of the token is the request's id, or 0.
 enum class TimerKind : std::uint64_t {
-  kTokenIssue,     // a token bank's next token falls due while jobs are buffered
+  kTokenIssue,     // the next token falls due while jobs are buffered
   kDeadline,       // a request's client stops waiting
-  kListPoll,       // the endpoint list has to be called for
+  kListPoll,       // the endpoint list must be requested
   kAnswerOverdue,  // a worker should have answered an attempt of the request
 };
 
 class Context {
  public:
-  // Throws std::invalid_argument naming the setting that makes no sense.
+  // Throws std::invalid_argument that names the first invalid setting.
   Context(Settings settings, std::uint64_t seed)
       : settings_(ValidatedSettings(std::move(settings))), random_(seed) {}
 
-  // Starts the handling of an event. An earlier time than the one before counts as that later one.
+  // Starts the handling of an event. A time earlier than that of the event before is replaced by the latter.
   void BeginEvent(Micros now, std::vector<Action>* actions) {
     now_ = std::max(now_, now);
     actions_ = actions;
@@ -55,7 +55,7 @@
     return RequestId{timer.token & ((std::uint64_t{1} << kTimerKindShift) - 1)};
   }
 
-  // At most one line in ten seconds: further ones are dropped, so that an outage does not flood the log.
+  // Emits at most one line in ten seconds and drops the others, so that an outage does not flood the log.
   void LogRateLimited(std::string text) {
     if (now_ < next_log_at_)
       return;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -31,7 +31,7 @@
   Impl(Settings settings, std::uint64_t seed);
 
   void Handle(Micros now, const Event& event, std::vector<Action>* actions);
-  bool Avoids(const std::string& worker) const { return fleet_.IsEjected(worker, context_.now()); }
+  bool IsEjected(const std::string& worker) const { return fleet_.IsEjected(worker, context_.now()); }
 
  private:
   void Begin();
@@ -94,8 +94,9 @@
 
 void Dispatcher::Impl::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
   context_.BeginEvent(now, actions);
-  // An event takes effect before the tokens of the time that led up to it, which release buffered jobs: their
-  // client or a worker may be gone. Only an arrival comes after the jobs that were buffered before it.
+  // An event is applied before the tokens that fell due up to its time, because those tokens release buffered
+  // jobs whose client or worker the event may report as gone. An arrival is applied last, after the jobs that
+  // were buffered before it.
   const auto* arrival = std::get_if<Arrival>(&event);
   if (arrival == nullptr)
     std::visit([this](const auto& fields) { Apply(fields); }, event);
@@ -127,7 +128,8 @@
 }
 
 void Dispatcher::Impl::RejectOverdueJobs(int tenant) {
-  // Finish removes jobs, here and, as their tokens pay for others, further ahead.
+  // Finish removes the job from the buffer, and its tokens may pay for jobs ahead of it, which leave the
+  // buffer too.
   const auto& buffered = throttle_.buffered(tenant);
   for (std::size_t i = buffered.size(); i-- > 0;) {
     if (i >= buffered.size())
@@ -144,9 +146,9 @@
   if (requests_.Contains(arrival.request))
     return;
   const int job_class = IndexOf(class_names_, arrival.job_class, kUnknownClass);
-  // Nothing was sent: harmless to try elsewhere.
+  // Nothing was sent, so the client may safely try elsewhere.
   if (job_class == kUnknownClass || arrival.time_left <= 0)
-    return context_.Emit(Refuse{arrival.request});
+    return context_.Emit(Reject{arrival.request});
   Request& request = requests_.Add(arrival.request);
   request.job_class = job_class;
   request.tenant = throttle_.TenantOf(arrival.tenant);
@@ -174,7 +176,7 @@
   }
 }
 
-// Sends to the best worker; without one, the request ends unless an attempt is still open.
+// Sends the request to the best worker. If there is none, the request ends unless an attempt is still open.
 void Dispatcher::Impl::SendAttempt(Request* request) {
   const Micros start_by = LatestAttemptStart(context_.settings(), *request);
   const int index = context_.now() < start_by ? selection_.Select(*request) : kNoWorker;
@@ -192,11 +194,11 @@
 void Dispatcher::Impl::Finish(Request* request) {
   if (!std::exchange(request->ended, true)) {
     if (IsRejectionSafe(context_.settings(), *request))
-      context_.Emit(Refuse{.request = request->id, .retry_after = throttle_.RetryAfter(*request)});
+      context_.Emit(Reject{.request = request->id, .retry_after = throttle_.RetryAfter(*request)});
     else
       context_.Emit(Fail{.request = request->id});
   }
-  // What was paid for a buffered job goes to those behind it.
+  // Tokens already paid for a buffered job go to the jobs behind it.
   for (int paid = throttle_.RemoveFromBuffer(*request); paid > 0; --paid) {
     Request* next = throttle_.AddToken(request->tenant);
     if (next != nullptr)
@@ -204,7 +206,7 @@
   }
   CancelOpenAttempts(context_, request, nullptr);
   if (!request->HasOpenAttempt())
-    requests_.Erase(request->id);  // else its outcomes are still to come
+    requests_.Erase(request->id);  // otherwise outcomes are still to come
 }
 
 void Dispatcher::Impl::Apply(const StreamStarted& started) {
@@ -231,7 +233,7 @@
     return;
   Request& request = requests_.At(ended.request);
   attempt->open = false;
-  attempt->may_have_run = ended.outcome != Outcome::kFull && ended.outcome != Outcome::kConnectFailed &&
+  attempt->may_have_run = ended.outcome != Outcome::kRejected && ended.outcome != Outcome::kConnectFailed &&
                           ended.outcome != Outcome::kNotSent;
   fleet_.RecordEnded(attempt->worker, request.slots);
   estimates_.RecordReport(attempt->worker, ended.report);
@@ -243,8 +245,8 @@
     SendNextAttempt(&request, *attempt);
 }
 
-// An attempt after one that may have run must pay again, so that failures cannot feed an overload with
-// retries.
+// After an attempt that may have run, the next one must pay again, so that retries of failed attempts cannot
+// add to an overload.
 void Dispatcher::Impl::SendNextAttempt(Request* request, const Attempt& failed) {
   if (failed.may_have_run) {
     if (!throttle_.CanPay(*request) || !MayStartAttempt(context_.settings(), *request, context_.now()))
@@ -277,8 +279,8 @@
 
 // ---- Workers ----
 
-// Where only probes bring load reports: one for each arrival, as a probe's price is the same whatever the
-// job's size; a quarter of them to any zone.
+// Probes one random worker for each arrival if load reports come only with probes. The price of a probe does
+// not depend on the size of the job. A quarter of the probes go to any zone, the others to the home zone.
 void Dispatcher::Impl::ProbeForReport() {
   const bool any_zone = context_.random().Draw(4) == 0;
   const WorkerPool& pool = any_zone ? fleet_.All(-1) : fleet_.InZone(-1, fleet_.home());
@@ -294,7 +296,7 @@
   if (index == kNoWorker || probe.outcome != Outcome::kServed)
     return;
   estimates_.RecordReport(index, probe.report);
-  // It answers others' jobs: so what this node sent waits in a queue.
+  // The worker answers jobs of other nodes, so this node's jobs wait in its queue.
   if (probe.report.served_per_s.value_or(0.0) > 0.0)
     fleet_.worker(index).answered_at = context_.now();
 }
@@ -316,6 +318,6 @@
 void Dispatcher::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
   impl_->Handle(now, event, actions);
 }
-bool Dispatcher::Avoids(const std::string& worker) const { return impl_->Avoids(worker); }
+bool Dispatcher::IsEjected(const std::string& worker) const { return impl_->IsEjected(worker); }
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/endpoint_list_polling.cpp
+++ b/src/dispatch/endpoint_list_polling.cpp
@@ -9,7 +9,7 @@
   const Settings& settings = context_.settings();
   if (!settings.subscribe)
     return;
-  const double delay = context_.random().Uniform() * settings.must_ask_in / 100;
+  const double delay = context_.random().Uniform() * settings.max_list_poll_interval / 100;
   context_.StartTimer(static_cast<Micros>(delay), TimerKind::kListPoll);
 }
 
@@ -17,8 +17,8 @@
   if (subscribed_)
     return;
   context_.Emit(SubscribeList{});
-  // A call that is never answered is repeated well before the list has to have been called for.
-  const Micros limit = context_.settings().must_ask_in;
+  // An unanswered call is repeated well before the longest allowed poll interval has passed.
+  const Micros limit = context_.settings().max_list_poll_interval;
   backoff_ = std::clamp<Micros>(2 * backoff_, limit / 32, limit / 4);
   const double jitter = context_.random().Uniform() * backoff_;
   context_.StartTimer(backoff_ + static_cast<Micros>(jitter), TimerKind::kListPoll);
@@ -35,8 +35,8 @@
 
 void EndpointListPolling::RecordFailure() {
   context_.LogRateLimited("worker list: call or subscription failed");
-  // With jitter: nodes lose their subscriptions together and must not all call at once.
-  const double delay = context_.random().Uniform() * context_.settings().must_ask_in / 32;
+  // The jitter keeps nodes that lose their subscriptions together from calling all at once.
+  const double delay = context_.random().Uniform() * context_.settings().max_list_poll_interval / 32;
   if (std::exchange(subscribed_, false))
     context_.StartTimer(static_cast<Micros>(delay), TimerKind::kListPoll);
 }
--- a/src/dispatch/endpoint_list_polling.h
+++ b/src/dispatch/endpoint_list_polling.h
@@ -1,5 +1,5 @@
-// Keeps the endpoint list subscribed: calls for it with exponential backoff until a list arrives, and anew
-// after a failure.
+// Keeps the subscription to the endpoint list: requests the list with exponential backoff until one arrives,
+// and again after a failure.
 #ifndef ALDERSILL_SRC_DISPATCH_ENDPOINT_LIST_POLLING_H_
 #define ALDERSILL_SRC_DISPATCH_ENDPOINT_LIST_POLLING_H_
 
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -26,7 +26,7 @@
  public:
   explicit Fleet(const Settings& settings);
 
-  // Takes over a list that did not fail. What was known of a worker whose process has restarted is reset.
+  // Takes over a list that did not fail. Resets the estimates of a worker whose process has restarted.
   void Apply(const WorkerList& list);
 
   int Find(const std::string& name) const { return IndexOf(index_, name, kNoWorker); }
--- a/src/dispatch/key_popularity.h
+++ b/src/dispatch/key_popularity.h
@@ -10,8 +10,8 @@
 
 namespace aldersill::dispatch {
 
-// Counts per hash cell: keys share cells, so a share is accurate to about 1 / kCells. Counts are halved now
-// and then so that old requests lose weight.
+// Counts per hash cell: keys share cells, so a share is accurate to about 1 / kCells. Counts are halved
+// after every kCells to 2 * kCells requests, so that old requests lose weight.
 class KeyPopularity {
  public:
   void Record(std::uint64_t key) {
@@ -24,7 +24,8 @@
   }
   // From 0 to 1.
   double ShareOf(std::uint64_t key) const {
-    // As if some other keys had been seen before, or the first few counts would give large shares.
+    // kPriorTotal stands for requests with other keys; without it the first few counts would give large
+    // shares.
     return static_cast<double>(cells_[Mix(key) % kCells]) / (total_ + kPriorTotal);
   }
 
--- a/src/dispatch/outcome_learning.cpp
+++ b/src/dispatch/outcome_learning.cpp
@@ -20,7 +20,7 @@
     return;
   }
   worker.answered_at = context_.now();
-  if (outcome == Outcome::kFull)
+  if (outcome == Outcome::kRejected)
     return RecordRejection(request, &worker);
   ejection_.RecordAnswer(&worker);
   estimates_.RecordResult(&worker, outcome != Outcome::kServed);
--- a/src/dispatch/rate_control.cpp
+++ b/src/dispatch/rate_control.cpp
@@ -6,7 +6,8 @@
 namespace aldersill::dispatch {
 namespace {
 
-// Per attempt: up a little while accepted, down more on a sign of overload. At its initial value the rate is
+// Changes per attempt: a small increase if it is accepted, a larger decrease on a sign of overload. At its
+// initial value the rate is
 // in balance where a share kIncrease / (kIncrease + kDecrease) of attempts, a sixth, meets such a sign.
 constexpr double kIncrease = 0.02;
 constexpr double kDecrease = 0.1;
@@ -30,9 +31,10 @@
                            context_.settings().nodes);
 }
 
-// The least rate. Quotas are divided evenly, traffic is not: so what arrives here, less the recent share that
-// met a sign of overload. A bank that fills just as fast as jobs arrive rejects by chance, and of many nodes
-// each counts few jobs: so three standard deviations of the count on top, which go as overload comes.
+// The lower bound of the rate. Quotas are divided evenly among nodes but traffic is not, so the bound is the
+// rate of arrivals here, less the recent share that met a sign of overload. A bank that fills just as fast as
+// jobs arrive rejects some by chance, and with many nodes each node counts few jobs, so three standard
+// deviations of the count are added, which shrink as overload grows.
 double RateControl::NeededRate() const {
   const double arriving = arrivals_.TokensPerSecond(context_.now());
   const double deviations = 3.0 * std::sqrt(arriving * kSecond / arrivals_.CountedWindow(context_.now()));
--- a/src/dispatch/retry_policy.cpp
+++ b/src/dispatch/retry_policy.cpp
@@ -10,7 +10,7 @@
   const ClassSettings& job_class = settings.classes[request.job_class];
   Micros latest = request.deadline;
   for (const Attempt& attempt : request.attempts) {
-    if (attempt.open && !settings.second_copies)
+    if (attempt.open && !settings.hedging)
       return 0;
     if (!attempt.may_have_run)
       continue;
--- a/src/dispatch/retry_policy.h
+++ b/src/dispatch/retry_policy.h
@@ -7,8 +7,8 @@
 
 namespace aldersill::dispatch {
 
-// Until when a further attempt is harmless whatever became of the earlier ones; 0: never. Before the first
-// attempt it is the deadline.
+// The time before which a further attempt may safely start, whatever the outcomes of the earlier ones; 0 if
+// none may start. Before the first attempt it is the deadline.
 Micros LatestAttemptStart(const Settings& settings, const Request& request);
 
 inline bool MayStartAttempt(const Settings& settings, const Request& request, Micros now) {
--- a/src/dispatch/settings.cpp
+++ b/src/dispatch/settings.cpp
@@ -62,11 +62,11 @@
   Require(settings.max_retry_after >= 0, "max_retry_after", "must not be negative");
   Require(settings.answer_slack >= 0, "answer_slack", "must not be negative");
   Require(settings.drain_grace >= 0, "drain_grace", "must not be negative");
-  Require(settings.must_ask_in > 0, "must_ask_in", "must be positive");
+  Require(settings.max_list_poll_interval > 0, "must_ask_in", "must be positive");
   Require(std::isfinite(settings.overload_factor) && settings.overload_factor > 0.0, "overload_factor",
           "must be positive");
-  Require(settings.fall > 0, "fall", "must be positive");
-  RequireFraction(settings.cold_share, "cold_share");
+  Require(settings.overload_window > 0, "fall", "must be positive");
+  RequireFraction(settings.cold_capacity_share, "cold_share");
   Require(settings.warm_after >= 0, "warm_after", "must not be negative");
   RequireNotNegative(settings.price_cross_zone, "price_cross_zone");
   RequireNotNegative(settings.price_probe, "price_probe");
--- a/src/dispatch/settings.h
+++ b/src/dispatch/settings.h
@@ -6,8 +6,8 @@
 
 namespace aldersill::dispatch {
 
-// Returns the settings with the tenants' shares scaled to sum to one; throws std::invalid_argument naming the
-// first setting that makes no sense.
+// Returns the settings with the tenants' shares scaled to sum to one; throws std::invalid_argument that names
+// the first invalid setting.
 Settings ValidatedSettings(Settings settings);
 
 // This node's even part of the tenants' quotas in requests a second; 0 where no tenant has one.
--- a/src/dispatch/slow_start.cpp
+++ b/src/dispatch/slow_start.cpp
@@ -7,11 +7,13 @@
 namespace aldersill::dispatch {
 namespace {
 
-constexpr double kShortJob = 1.2;  // of a mean job: up to this length it may go to a worker that warms up
+constexpr double kShortJob = 1.2;  // longest job that may go to a worker that warms up, in mean jobs
 // Mean square over squared mean of the running times of one class.
 constexpr double kRunTimeVariability = 1.3;
-constexpr double kQuotaMargin = 1.5;   // times their quotas: the most that all workers are assumed to run
-constexpr double kWindowShare = 0.75;  // of the bound, as what was not used before comes on top
+constexpr double kQuotaMargin =
+    1.5;  // multiple of the quotas that all workers together are assumed to run at most
+constexpr double kWindowShare =
+    0.75;  // share of the bound that is used, as unused rate from before is added to it
 
 }  // namespace
 
@@ -43,15 +45,16 @@
   const double size = request.slots * run_times_.Mean(request.job_class) / pricing_.mean_slot_time();
   if (warming_workers_.empty() || size > kShortJob)
     return kNoWorker;
-  // What was not used lapses after a third of a window: in a surge many nodes would use at once what they
-  // saved.
+  // Unused rate lapses after a third of a window, or in a surge many nodes would use all that they have saved
+  // at once.
   const Settings& settings = context_.settings();
   const Micros since_last = context_.now() - std::exchange(drawn_at_, context_.now());
-  const Micros usable = std::min(since_last, settings.fall / 3);
+  const Micros usable = std::min(since_last, settings.overload_window / 3);
   const double total_share = TotalCapacityShare();
   const int index = DrawByCapacityShare(total_share);
   const Worker& worker = fleet_.worker(index);
-  const double jobs = JobsPerWindow(worker, request.slots) * usable / settings.fall / settings.nodes;
+  const double jobs =
+      JobsPerWindow(worker, request.slots) * usable / settings.overload_window / settings.nodes;
   const double chance = total_share / fleet_.CapacityShareOf(worker) * jobs / size;
   return context_.random().Uniform() < chance ? index : kNoWorker;
 }
@@ -63,7 +66,8 @@
   return total;
 }
 
-// By capacity: taken in turns, large workers would get fewer jobs than they can bear however sure the draw.
+// Draws by capacity. If workers took turns, large ones would get fewer jobs than they can run even if every
+// draw succeeded.
 int SlowStart::DrawByCapacityShare(double total) {
   std::size_t position = 0;
   for (double left = context_.random().Uniform() * total; position + 1 < warming_workers_.size();
@@ -90,7 +94,7 @@
   const Settings& settings = context_.settings();
   const double by_quotas = quota_ > 0.0 ? kQuotaMargin * quota_ * settings.nodes / kSecond : 1.0;
   const double run_in_window = std::min(fleet_.ready_slots() / pricing_.mean_slot_time(), by_quotas) *
-                               fleet_.CapacityShareOf(worker) * settings.fall;
+                               fleet_.CapacityShareOf(worker) * settings.overload_window;
   const double bearable = settings.overload_factor * WarmUpShare(context_, worker) * run_in_window;
   const double variability = kRunTimeVariability * slots * sizes / short_classes;
   const double root = std::sqrt(4.0 * variability + bearable) - std::sqrt(4.0 * variability);
--- a/src/dispatch/slow_start.h
+++ b/src/dispatch/slow_start.h
@@ -19,13 +19,14 @@
   return worker.process_started > 0 && context.now() - worker.process_started < context.settings().warm_after;
 }
 
-// The share of its full capacity that a worker has at the least: it warms up no slower than evenly.
+// The lower bound of a worker's present capacity, as a share of its full one: capacity is assumed to grow at
+// least linearly.
 inline double WarmUpShare(const Context& context, const Worker& worker) {
   if (!IsWarmingUp(context, worker))
     return 1.0;
   const Settings& settings = context.settings();
-  return settings.cold_share +
-         (1.0 - settings.cold_share) * context.Since(worker.process_started) / settings.warm_after;
+  return settings.cold_capacity_share +
+         (1.0 - settings.cold_capacity_share) * context.Since(worker.process_started) / settings.warm_after;
 }
 
 // Exception: rule 4 (overload_factor, fall). A worker that warms up gets from all nodes a rate at which even
@@ -40,8 +41,8 @@
   void Begin() { drawn_at_ = context_.now(); }
   // To be called after the endpoint list has changed.
   void UpdateWorkers();
-  // The warming-up worker that this job should go to, or kNoWorker. Long jobs, few of which make a cluster,
-  // stay away.
+  // The warming-up worker that this job should go to, or kNoWorker. Long jobs are not sent to such workers,
+  // because a few of them already make a cluster.
   int DrawWorker(const Request& request);
 
  private:
@@ -54,7 +55,7 @@
   const Fleet& fleet_;
   const RunTimes& run_times_;
   const JobPricing& pricing_;
-  const double quota_;                // this node's part, requests a second
+  const double quota_;                // this node's part of the quotas, requests a second
   std::vector<int> warming_workers_;  // those warming up when the list last changed
   Micros drawn_at_ = 0;               // when a job was last drawn for one of them
 };
--- a/src/dispatch/throttle.cpp
+++ b/src/dispatch/throttle.cpp
@@ -18,15 +18,16 @@
     tenant_names_.emplace(tenant.name, static_cast<int>(banks_.size()));
     banks_.emplace_back().share = tenant.share;
   }
-  // Where there are shares, jobs of unlisted tenants get what the others leave.
+  // If tenants are listed, jobs of unlisted ones get only the tokens that the others leave.
   banks_.emplace_back().share = settings.tenants.empty() ? 1.0 : kUnlistedShare;
   for (const ClassSettings& job_class : settings.classes)
     shortest_target_ = std::min(shortest_target_, job_class.target);
 }
 
 void Throttle::Begin() {
-  // Full banks would burst at a restart, empty ones reject what a fleet under light load could take. The
-  // random phase keeps nodes that start together from releasing buffered jobs at the same times.
+  // Full banks would allow a burst at a restart; empty ones would reject jobs that a lightly loaded fleet
+  // could run. The random phase keeps nodes that start together from releasing buffered jobs at the same
+  // times.
   const TokenStream stream = Stream();
   for (TokenBank& bank : banks_)
     bank.tokens = bank.Capacity(stream) / 2;
@@ -58,8 +59,8 @@
   const TokenStream stream = Stream();
   const bool has_use = !turn->buffered.empty() || turn->tokens < turn->Capacity(stream);
   Request* paid = AddToken(static_cast<int>(turn - banks_.begin()));
-  // A token that an idle tenant cannot use goes to the neediest while attempts find room. Under overload it
-  // is dropped, or it would displace the shares.
+  // A token that an idle tenant cannot use goes to the tenant with the lowest counter, unless there is an
+  // overload. Then it is dropped, as otherwise tenants would get more than their shares.
   if (has_use || rate_.IsOverloaded())
     return paid;
   const auto counter = [&stream](const TokenBank& bank) { return bank.Counter(stream); };
--- a/src/dispatch/throttle.h
+++ b/src/dispatch/throttle.h
@@ -47,7 +47,7 @@
   Request* AddToken(int tenant);
 
   const std::deque<RequestId>& buffered(int tenant) const { return banks_[tenant].buffered; }
-  // A buffered job is rejected while there is time left to run it elsewhere.
+  // Whether a buffered job should be rejected now, while there is time left to run it elsewhere.
   bool IsOverdue(const Request& request) const;
   // Removes a job from the buffer, if it is there; returns how many tokens were paid for it.
   int RemoveFromBuffer(const Request& request);
@@ -56,7 +56,7 @@
   void Pay(const Request& request) { banks_[request.tenant].tokens -= request.price; }
 
   // Advice for a rejected client: when its tenant's tokens will have paid for the job, with jitter so that
-  // clients rejected together do not return together. 0 where no advice is wanted.
+  // clients rejected together do not return together. 0 if the settings ask for no advice.
   Micros RetryAfter(const Request& request);
 
   // Starts a timer for the next token while jobs are buffered.
--- a/src/dispatch/token_bank.h
+++ b/src/dispatch/token_bank.h
@@ -26,9 +26,10 @@
   int highest_price = 1;  // of a job so far
   std::deque<RequestId> buffered{};
 
-  // Jobs that a bank holds however slowly its tokens come. What a throttle rejects by chance depends on its
-  // capacity in jobs, not in seconds: at three quarters of its tokens' rate one that holds two loses a tenth,
-  // one that holds eight a hundredth. One node of a hundred has a tenant's token every ten seconds.
+  // Jobs that a bank holds however slowly its tokens come. The share of jobs that a throttle rejects by
+  // chance depends on its capacity in jobs, not in seconds: at three quarters of the token rate, a bank that
+  // holds two jobs rejects a tenth of them, one that holds eight a hundredth. With a hundred nodes, a node
+  // may get one token of a tenant every ten seconds.
   static constexpr double kJobs = 8.0;
 
   // C_T: some jobs, a second of the tenant's tokens and their usual deviation. At least the highest price.
--- a/src/dispatch/unresponsive_workers.cpp
+++ b/src/dispatch/unresponsive_workers.cpp
@@ -7,13 +7,13 @@
 namespace aldersill::dispatch {
 namespace {
 
-constexpr double kTimeoutFactor = 1.5;  // times what a late job takes
+constexpr double kTimeoutFactor = 1.5;  // multiple of the time that a late job takes
 constexpr Micros kProbeTimeout = 300'000;
 constexpr Micros kTimerTolerance = 1000;  // timers may fire this early
 
 }  // namespace
 
-// How long the answer to a job may take, in microseconds, before the worker's silence means something.
+// How long the answer to a job may take, in microseconds, before the worker counts as unresponsive.
 double UnresponsiveWorkers::AnswerTimeout(const Request& request) const {
   return kTimeoutFactor * (run_times_.StartAllowance(request.job_class) + run_times_.Mean(request.job_class));
 }
@@ -52,7 +52,7 @@
     CancelAttempt(context_, request, attempt_number);
 }
 
-// Probes the worker unless that was done of late; returns whether the probe's answer may still come.
+// Probes the worker unless it was probed within the timeout; returns whether the answer may still come.
 bool UnresponsiveWorkers::AwaitsProbe(Worker* worker, double timeout) {
   if (worker->probed_at == 0 || context_.now() - worker->probed_at >= timeout) {
     worker->probed_at = context_.now();
--- a/src/dispatch/unresponsive_workers.h
+++ b/src/dispatch/unresponsive_workers.h
@@ -16,8 +16,8 @@
 // Exception: a worker that accepts jobs and answers none keeps them to their deadlines, and no outcome shows
 // it. Where nothing at all has come from a worker since a job was sent there too long ago, it is ejected as
 // one that cannot be reached, and the job is cancelled where it may run again. Where probes are allowed the
-// worker is probed first: of many nodes each gets answers from a worker so seldom that a queue looks like
-// silence, and jobs cancelled in queues run twice when time is shortest.
+// worker is probed first: with many nodes, each gets answers from a worker so rarely that a queue looks
+// like silence, and jobs cancelled while queued would run twice when capacity is scarcest.
 class UnresponsiveWorkers {
  public:
   UnresponsiveWorkers(Context& context, Fleet& fleet, const RunTimes& run_times, const Throttle& throttle,
--- a/src/dispatch/worker.h
+++ b/src/dispatch/worker.h
@@ -23,7 +23,7 @@
   std::uint64_t ring_position = 0;  // on the hash ring that spreads keys over workers, the same on every node
   int own_slots = 0;                // slots of this node's open attempts there
 
-  // What follows is about the present process and is reset when it restarts.
+  // The fields below describe the present process and are reset when it restarts.
   std::deque<std::uint64_t> recent_keys;  // of jobs that this node sent there, the latest first
   double reported_free_slots = 0.0;
   double free_slots_offset = 0.0;  // expected free slots above (below: negative) those of its peers
@@ -49,7 +49,7 @@
 
 struct WorkerKind {
   double slots = 1.0;          // of one worker: the most ever reported free
-  double longest_queue = 0.0;  // the longest ever reported: what is assumed to wait at a worker that is full
+  double longest_queue = 0.0;  // longest ever reported; assumed for a worker that rejects a job as full
   double run_time_ratio = 1.0;
 };
 
--- a/src/dispatch/worker_estimates.cpp
+++ b/src/dispatch/worker_estimates.cpp
@@ -5,19 +5,19 @@
 namespace aldersill::dispatch {
 namespace {
 
-// How old a load report is when it arrives: workers refresh them now and then and they come late. Not a
-// setting.
+// Assumed age of a load report on arrival: workers refresh reports periodically and these arrive late. No
+// setting tells the age.
 constexpr Micros kReportDelay = 700'000;
-// Workers whose reports came last are compared in every choice: a sample of many workers would seldom hit one
-// with a fresh report.
+// Workers whose reports came last are compared in every choice: a random sample of a large fleet would rarely
+// include one with a fresh report.
 constexpr std::size_t kRecentReporters = 4 * kSampledWorkers;
 
 }  // namespace
 
 std::optional<double> FreeSlotsIn(const LoadReport& report, double slots) {
   std::optional<double> free_slots = report.free_slots;
-  if (!free_slots && report.in_work)
-    free_slots = slots - *report.in_work;
+  if (!free_slots && report.running_jobs)
+    free_slots = slots - *report.running_jobs;
   if (!free_slots && report.cpu_share)
     free_slots = slots * (1.0 - *report.cpu_share);
   if (free_slots)
@@ -34,7 +34,7 @@
   if (!free_slots)
     return;
   kind.longest_queue = std::max(kind.longest_queue, -*free_slots);
-  // Dated back: what a report says of jobs that end sooner than it arrives means nothing any more.
+  // The report is dated back: it no longer tells anything about jobs that end before it arrives.
   worker.RecordFreeSlots(*free_slots, context_.now() - kReportDelay);
   fleet_.RecordReport(index, kRecentReporters);
   double& free_share = fleet_.FreeShareOf(worker);
--- a/src/dispatch/worker_estimates.h
+++ b/src/dispatch/worker_estimates.h
@@ -15,7 +15,8 @@
 
 namespace aldersill::dispatch {
 
-// Free slots of a worker with this many, as near as the report tells; less those that waiting jobs will take.
+// Estimates from the report the free slots of a worker that has `slots` slots, less those that its waiting
+// jobs will take; nullopt if the report does not tell. May be negative.
 std::optional<double> FreeSlotsIn(const LoadReport& report, double slots);
 
 class WorkerEstimates {
@@ -24,12 +25,12 @@
       : context_(context), fleet_(fleet), run_times_(run_times) {}
 
   void RecordReport(int index, const LoadReport& report);
-  // An attempt has ended there; `failed`: without an answer or with an error.
+  // Records that an attempt has ended at the worker; `failed`: without an answer or with an error.
   void RecordResult(Worker* worker, bool failed);
   // An answered attempt took this multiple of its class's mean running time.
   void RecordRunTime(Worker* worker, double run_time_ratio);
-  // It rejected an attempt as full. That is fresher than any report: a report's age would hide it, and a
-  // worker that rejects everything would look idle.
+  // Records that the worker rejected an attempt as full. This is fresher than any report. If it were dated
+  // back like a report, a worker that rejects everything would look idle.
   void RecordRejection(Worker* worker);
   // An attempt has started there after this delay in microseconds; returns the usual one.
   double RecordStartDelay(const Worker& worker, double delay);
@@ -44,9 +45,9 @@
     worker->free_slots_offset *= kept;
   }
 
-  // Expected free slots: the worker's own report, trusted less as it ages, else the average of its kind; less
-  // what this node sent meanwhile. Without the ageing every node would send to the same worker once it was
-  // seen free.
+  // Expected free slots: a mean of the worker's own report, whose weight decays with its age, and the average
+  // of its kind, less the slots that this node has sent since. Without the decay every node would send to the
+  // same worker once it was reported free.
   double FreeSlots(const Worker& worker) const {
     const double room =
         (fleet_.FreeShareOf(worker) - 1.0 + WarmUpShare(context_, worker)) * fleet_.KindOf(worker).slots;
--- a/src/dispatch/worker_selection.cpp
+++ b/src/dispatch/worker_selection.cpp
@@ -14,7 +14,7 @@
 constexpr double kFetchDelay = 1.5;
 // Value lost by other jobs per running time of waiting that a job adds to a worker.
 constexpr double kWaitPrice = 0.3;
-// Costs this close count as equal: or the worker with the least cost of all would be tried again and again.
+// Costs this close count as equal, or the worker with the least cost would be chosen again and again.
 constexpr double kEqualCost = 0.01;
 
 }  // namespace
@@ -68,7 +68,7 @@
   }
 }
 
-// By the listed weights: a node that meets a worker once in minutes never learns its size.
+// Samples by the listed weights, because a node that sends to a worker once in minutes never learns its size.
 void WorkerSelection::Sample(Search* search, const WorkerPool& pool, std::size_t count,
                              Candidates candidates) {
   count = std::min(pool.size(), count);
@@ -137,7 +137,8 @@
       std::max(0.1, job_class.target / run_time + job_class.stretch - worker->run_time_ratio - delay);
   const double queueing = worker->run_time_ratio * wait / fleet_.KindOf(*worker).slots;
   const double late = std::exp(-left / (queueing + 0.05));
-  // A slot taken where few are free is missed by the next job: so free ones go first even if nothing is late.
+  // A slot taken at a worker with few free ones delays the next job, so workers with more free slots are
+  // preferred even if no job is late.
   return 1.0 - (1.0 - late) * (1.0 - worker->error_rate) + kWaitPrice * (queueing + delay) +
          (crosses_zones ? context_.settings().price_cross_zone : 0.0);
 }
--- a/src/duties/codec.cpp
+++ b/src/duties/codec.cpp
@@ -10,7 +10,7 @@
 
 // The optional fields of a load report, in the order of their bits in the presence mask.
 constexpr std::array<std::optional<double> LoadReport::*, 7> kReportFields = {
-    &LoadReport::in_work,      &LoadReport::waiting,      &LoadReport::cpu_share, &LoadReport::service_ms,
+    &LoadReport::running_jobs, &LoadReport::waiting,      &LoadReport::cpu_share, &LoadReport::service_ms,
     &LoadReport::served_per_s, &LoadReport::errors_per_s, &LoadReport::free_slots};
 constexpr std::uint8_t kOutcomeCount = static_cast<std::uint8_t>(Outcome::kNotSent) + 1;
 
--- a/src/http/codec.cpp
+++ b/src/http/codec.cpp
@@ -33,7 +33,7 @@
     }
   };
   // The platform's settings and its pages name the same fields differently; both occur.
-  read(&load.in_work, {"inflight", "busy_reqs"});
+  read(&load.running_jobs, {"inflight", "busy_reqs"});
   read(&load.waiting, {"queue", "pending"});
   read(&load.cpu_share, {"util", "cpu_share"});
   read(&load.service_ms, {"latency_ms", "svc_ms"});
--- a/src/http/worker_response_reader.cpp
+++ b/src/http/worker_response_reader.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxHeaderBytes = 32'768;
 
 bool HasFigures(const LoadReport& report) {
-  return report.cpu_share || report.free_slots || report.in_work || report.waiting;
+  return report.cpu_share || report.free_slots || report.running_jobs || report.waiting;
 }
 
 Outcome OutcomeOf(AttemptLine::State state) {
@@ -22,7 +22,7 @@
     case AttemptLine::State::kDone:
       return Outcome::kServed;
     case AttemptLine::State::kReturned:
-      return Outcome::kFull;
+      return Outcome::kRejected;
     case AttemptLine::State::kLost:
       return Outcome::kLost;
     default:
@@ -68,7 +68,7 @@
     ended.outcome = is_probe ? Outcome::kServed : Outcome::kLost;  // an attempt without its last line
   } else {
     const bool never_started = declined_ && (parser_.status_code == 503 || parser_.status_code == 504);
-    ended.outcome = never_started ? Outcome::kFull : Outcome::kError;
+    ended.outcome = never_started ? Outcome::kRejected : Outcome::kError;
   }
   if (is_probe && parser_.status_code == 200)
     load_ = DecodeLoad(unread_);
--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -12,7 +12,7 @@
 using dispatch::Fail;
 using dispatch::Log;
 using dispatch::Probe;
-using dispatch::Refuse;
+using dispatch::Reject;
 using dispatch::Send;
 using dispatch::SetTimer;
 using dispatch::SubscribeList;
@@ -35,7 +35,7 @@
     Field("req", static_cast<std::uint64_t>(cancel.request));
     Field("shot", cancel.attempt_number);
   }
-  void operator()(const Refuse& rejection) {
+  void operator()(const Reject& rejection) {
     Begin("shed");
     Field("req", static_cast<std::uint64_t>(rejection.request));
     if (rejection.retry_after > 0)
--- a/src/simulator_adapter/event_parser.cpp
+++ b/src/simulator_adapter/event_parser.cpp
@@ -30,7 +30,7 @@
   if (value == "app_error")
     return Outcome::kError;
   if (value == "shed")
-    return Outcome::kFull;
+    return Outcome::kRejected;
   if (value == "expired")
     return Outcome::kTimeout;
   if (value == "dial_failed")
@@ -48,7 +48,7 @@
 // other names, such as free memory, are ignored.
 void SetReportValue(std::string_view name, double value, LoadReport* report) {
   if (name == "busy_reqs")
-    report->in_work = value;
+    report->running_jobs = value;
   else if (name == "pending")
     report->waiting = value;
   else if (name == "cpu_share")
--- a/src/simulator_adapter/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -114,16 +114,16 @@
 void ParseLimits(const Line& line, Settings* settings) {
   settings->probes = line.BoolOr("limits.probes", settings->probes);
   settings->cancel = line.BoolOr("limits.cancel", settings->cancel);
-  settings->second_copies = line.BoolOr("limits.secondCopies", settings->second_copies);
+  settings->hedging = line.BoolOr("limits.secondCopies", settings->hedging);
   settings->retry_after = line.BoolOr("limits.retryAfter", settings->retry_after);
   settings->max_attempts = static_cast<int>(line.IntOr("limits.maxAttempts", settings->max_attempts));
   settings->max_retry_after = line.IntOr("limits.maxRetryAfter", settings->max_retry_after);
   settings->answer_slack = line.IntOr("rules.answerSlack", settings->answer_slack);
   settings->drain_grace = line.IntOr("rules.drainGrace", settings->drain_grace);
-  settings->must_ask_in = line.IntOr("rules.mustAskIn", settings->must_ask_in);
+  settings->max_list_poll_interval = line.IntOr("rules.mustAskIn", settings->max_list_poll_interval);
   settings->overload_factor = line.NumberOr("rules.overloadFactor", settings->overload_factor);
-  settings->fall = line.IntOr("rules.fall", settings->fall);
-  settings->cold_share = line.NumberOr("rules.coldShare", settings->cold_share);
+  settings->overload_window = line.IntOr("rules.fall", settings->overload_window);
+  settings->cold_capacity_share = line.NumberOr("rules.coldShare", settings->cold_capacity_share);
   settings->warm_after = line.IntOr("rules.warmAfter", settings->warm_after);
   settings->price_cross_zone = line.NumberOr("prices.crossZone", settings->price_cross_zone);
   settings->price_probe = line.NumberOr("prices.probe", settings->price_probe);
--- a/tests/admission_rate_test.cpp
+++ b/tests/admission_rate_test.cpp
@@ -23,18 +23,18 @@
     d.Advance(d.now + kSecond / 18);
     d.Arrive(id, "unsafe", 5 * kSecond, 1, "only");
     int attempt_number = 0;
-    if (Count<Send>(d.End(id, 0, Outcome::kFull)) > 0)
+    if (Count<Send>(d.End(id, 0, Outcome::kRejected)) > 0)
       attempt_number = 1;
     d.Start(id, attempt_number);
     d.End(id, attempt_number, Outcome::kServed, true);
   }
-  EXPECT_LT(Count<Refuse>(d.all), 50);
+  EXPECT_LT(Count<Reject>(d.all), 50);
 }
 
 // A start after the target is no overload while a job of median length can still be in time.
 TEST(AdmissionRate, StartsWithinTheAllowanceDoNotLowerTheRate) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.tenants = {{"only", 1.0, 20.0}};
   Driver d(s);
   d.List({Entry("a"), Entry("b"), Entry("c"), Entry("d")});
@@ -47,13 +47,13 @@
     if (id > 6)
       d.End(id - 6, 0, Outcome::kServed, true);
   }
-  EXPECT_LT(Count<Refuse>(d.all), 10);
+  EXPECT_LT(Count<Reject>(d.all), 10);
 }
 
 // Where few jobs are long, most are far shorter than the mean, and the allowance must follow the median.
 TEST(AdmissionRate, LateStartsOfShortJobsLowerTheRateThoughAFewAreLong) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.tenants = {{"only", 1.0, 40.0}};
   Driver d(s);
   std::vector<WorkerEntry> workers;
@@ -79,13 +79,13 @@
     }
     sent(d.Arrive(id, "unsafe", 100 * kSecond, 1, "only"));
   }
-  EXPECT_GT(Count<Refuse>(d.all), 500);
+  EXPECT_GT(Count<Reject>(d.all), 500);
 }
 
 // The shares of short and of long jobs that are rejected under three times the quota.
 std::pair<double, double> RefusedShortAndLong(double short_weight, double long_weight, bool by_work) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.tenants = {{"only", 1.0, 20.0}};
   s.classes[0].priority_weight = short_weight;
   s.classes[2].priority_weight = long_weight;
@@ -115,7 +115,7 @@
     start(d.Arrive(id, is_long[id] ? "unsafe" : "repeatable", 100 * kSecond, 1, "only"));
   }
   double refused[2] = {0.0, 0.0};
-  for (const Refuse& r : Only<Refuse>(d.all))
+  for (const Reject& r : Only<Reject>(d.all))
     ++refused[is_long[static_cast<int>(r.request)]];
   return {refused[0] / 1500.0, refused[1] / 500.0};
 }
@@ -138,7 +138,7 @@
   int refused[2] = {0, 0};
   for (const bool full : {false, true}) {
     Settings s = BasicSettings();
-    s.second_copies = false;
+    s.hedging = false;
     s.tenants = {{"only", 1.0, 20.0}};
     Driver d(s);
     std::vector<WorkerEntry> workers;
@@ -149,7 +149,7 @@
     const auto handle = [&](const std::vector<Action>& actions) {
       for (const Send& send : Only<Send>(actions)) {
         const int id = static_cast<int>(send.request);
-        const int attempt_number = full && Count<Send>(d.End(id, 0, Outcome::kFull)) > 0 ? 1 : 0;
+        const int attempt_number = full && Count<Send>(d.End(id, 0, Outcome::kRejected)) > 0 ? 1 : 0;
         if (id % 5 == 0) {  // a fifth of the starts is late
           late.emplace(d.now + kSecond, std::pair(id, attempt_number));
           continue;
@@ -167,7 +167,7 @@
       }
       handle(d.Arrive(id, "unsafe", 5 * kSecond, 1, "only"));
     }
-    refused[full] = Count<Refuse>(d.all);
+    refused[full] = Count<Reject>(d.all);
   }
   EXPECT_LT(2 * refused[true], refused[false]);
 }
@@ -176,7 +176,7 @@
 // much.
 TEST(AdmissionRate, RecoversSoonOnceWorkersStartJobsAtOnce) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.tenants = {{"only", 1.0, 20.0}};
   Driver d(s);
   d.List({Entry("a"), Entry("b"), Entry("c"), Entry("d")});
@@ -203,7 +203,7 @@
       d.End(static_cast<int>(send.request), 0, Outcome::kServed, true);
     }
   }
-  EXPECT_LT(Count<Refuse>(d.all), 3);
+  EXPECT_LT(Count<Reject>(d.all), 3);
 }
 
 // One node of a hundred gets a tenant's token every ten seconds: a bank of one or two jobs rejected a third
@@ -213,7 +213,7 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Settings s = BasicSettings();
     s.nodes = 100;
-    s.second_copies = false;
+    s.hedging = false;
     s.tenants.clear();
     for (int t = 0; t < 6; ++t)
       s.tenants.push_back({"t" + std::to_string(t), 1.0, 20.0});
@@ -232,7 +232,7 @@
       d.End(id, 0, Outcome::kServed, true);
     }
     d.Advance(d.now + 5 * kSecond);
-    refused += Count<Refuse>(d.all);
+    refused += Count<Reject>(d.all);
   }
   EXPECT_LT(refused, jobs / 100) << "of " << jobs;
 }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -85,7 +85,7 @@
     }
     if (what_ == Case::kSurge) {
       idle_until_ = start_ + static_cast<Micros>(Between(0.05, 0.6) * settings_.warm_after);
-      idle_from_ = idle_until_ - settings_.fall;
+      idle_from_ = idle_until_ - settings_.overload_window;
       for (int n = 0; n < nodes; ++n) {
         for (int i = 0; i < 8; ++i)
           At(idle_until_ + static_cast<Micros>(Between(0.0, 0.1) * kSecond), [this, n] { Arrive(n); });
@@ -141,11 +141,11 @@
   void DrawSettings(int nodes) {
     Settings& s = settings_;
     s = BasicSettings();
-    s.second_copies = false;
+    s.hedging = false;
     s.nodes = nodes;
     s.overload_factor = Between(2.0, 4.0);
-    s.fall = static_cast<Micros>(Between(1.0, 3.0) * kSecond);
-    s.cold_share = Between(0.3, 0.6);
+    s.overload_window = static_cast<Micros>(Between(1.0, 3.0) * kSecond);
+    s.cold_capacity_share = Between(0.3, 0.6);
     s.warm_after = static_cast<Micros>(Between(3.0, 9.0) * kSecond);
     const bool misled = what_ == Case::kMisled;
     const double middle = 0.04 * std::pow(misled ? 15.0 : 75.0, Between(0.0, 1.0)) * kSecond;
@@ -155,7 +155,7 @@
     if (misled)
       s.overload_factor = Between(3.5, 4.0);
     if (misled)
-      s.fall = static_cast<Micros>(Between(2.0, 3.0) * kSecond);
+      s.overload_window = static_cast<Micros>(Between(2.0, 3.0) * kSecond);
     s.classes.resize(1);
     const ClassSettings usual = s.classes[0];
     s.classes.clear();
@@ -274,7 +274,7 @@
     e.attempt_number = attempt_number;
     const bool full = b.in_work >= 5 * b.slots;
     e.outcome = Chance(0.02)                  ? Outcome::kConnectFailed
-                : full                        ? Outcome::kFull
+                : full                        ? Outcome::kRejected
                 : Chance(b.bad ? 0.3 : 0.003) ? Outcome::kError
                                               : Outcome::kServed;
     e.report.free_slots = std::max(0.0, b.slots - b.in_work) * Between(0.95, 1.05);
@@ -295,11 +295,12 @@
   // What it can do of its full capacity, on the mean over the window that ends then.
   double Able(Micros end) const {
     const auto able = [this](double t) {
-      return settings_.cold_share + (1.0 - settings_.cold_share) * std::max(0.0, t) / settings_.warm_after;
+      return settings_.cold_capacity_share +
+             (1.0 - settings_.cold_capacity_share) * std::max(0.0, t) / settings_.warm_after;
     };
     double sum = 0.0;
     for (int i = 0; i < 20; ++i)
-      sum += able(end - start_ - (i + 0.5) / 20.0 * settings_.fall);
+      sum += able(end - start_ - (i + 0.5) / 20.0 * settings_.overload_window);
     return sum / 20.0;
   }
 
@@ -309,7 +310,7 @@
       if (!b.cold)
         continue;
       ++tally.workers;
-      const double warm_calls = settings_.overload_factor * b.slots * settings_.fall / mean_job_;
+      const double warm_calls = settings_.overload_factor * b.slots * settings_.overload_window / mean_job_;
       double sent = 0.0, of_notified = 0.0;
       bool fell = false, down = false;
       for (std::size_t first = 0, last = 0; last < b.sent.size(); ++last) {
@@ -317,7 +318,7 @@
         sent += s.work;
         of_notified += s.from_notified ? s.work : 0.0;
         tally.sent += s.from_notified ? s.work : 0.0;
-        for (; s.at - b.sent[first].at > settings_.fall; ++first) {
+        for (; s.at - b.sent[first].at > settings_.overload_window; ++first) {
           sent -= b.sent[first].work;
           of_notified -= b.sent[first].from_notified ? b.sent[first].work : 0.0;
         }
@@ -333,8 +334,8 @@
         fell = fell || (theirs && sent > bound);
       }
       tally.fell += fell;
-      const double mean_share = (1.0 + settings_.cold_share) / 2.0;
-      tally.allowed += warm_calls * mean_share * settings_.warm_after / settings_.fall;
+      const double mean_share = (1.0 + settings_.cold_capacity_share) / 2.0;
+      tally.allowed += warm_calls * mean_share * settings_.warm_after / settings_.overload_window;
     }
     return tally;
   }
@@ -387,11 +388,11 @@
 TEST(ColdFleet, WhatNodesKeptAndTheNextWindowStayUnderTheBoundTogether) {
   for (const double mean_s : {0.1, 0.2, 0.4, 1.0}) {
     Settings s = BasicSettings();
-    s.second_copies = false;
+    s.hedging = false;
     s.nodes = 300;
     s.overload_factor = 4.0;
-    s.fall = 3 * kSecond;
-    s.cold_share = 0.6;
+    s.overload_window = 3 * kSecond;
+    s.cold_capacity_share = 0.6;
     s.warm_after = 9 * kSecond;
     s.classes.resize(1);
     s.classes[0].target = static_cast<Micros>(mean_s * kSecond);
@@ -416,15 +417,15 @@
       d.now = start;
       d.List(workers);
       for (int id = 2; id < 50; ++id) {
-        d.Advance(idle_until + (id - 2) * s.fall / 48);
+        d.Advance(idle_until + (id - 2) * s.overload_window / 48);
         for (const Send& send : Only<Send>(d.Arrive(id, "repeatable", 5 * kSecond, 1, "only"))) {
           if (send.worker == "cold" && send.request == RequestId{static_cast<std::uint64_t>(id)})
             sends.push_back(d.now);
         }
       }
     }
-    const double able = s.cold_share + (1.0 - s.cold_share) * 5.0 / 9.0;
-    const double n = s.overload_factor * able * slots * s.fall / (mean_s * kSecond);
+    const double able = s.cold_capacity_share + (1.0 - s.cold_capacity_share) * 5.0 / 9.0;
+    const double n = s.overload_factor * able * slots * s.overload_window / (mean_s * kSecond);
     std::printf("kept and used, N = %4.0f: %zu sent, bound %.0f\n", n, sends.size(),
                 n + 2.0 * std::sqrt(n) + 2.0);
     EXPECT_LE(static_cast<double>(sends.size()), n + 2.0 * std::sqrt(n) + 2.0) << "N = " << n;
--- a/tests/daemon/core_repeats_test.cpp
+++ b/tests/daemon/core_repeats_test.cpp
@@ -134,7 +134,7 @@
       {.description = "rejected or returned by the worker",
        .sent = true,
        .cause = Cause::kEnded,
-       .outcome = Outcome::kFull,
+       .outcome = Outcome::kRejected,
        .never_ran = true},
       {.description = "failed",
        .sent = true,
--- a/tests/daemon/random_core_run.h
+++ b/tests/daemon/random_core_run.h
@@ -67,7 +67,7 @@
     settings.dispatcher.zone = "z1";
     settings.dispatcher.subscribe = random_.Percent(90);
     settings.dispatcher.cancel = random_.Percent(70);
-    settings.dispatcher.second_copies = random_.Percent(50);
+    settings.dispatcher.hedging = random_.Percent(50);
     settings.dispatcher.probes = random_.Percent(50);
     settings.dispatcher.reports_start = random_.Percent(50);
     settings.dispatcher.max_attempts = 1 + static_cast<int>(random_.Below(5));
@@ -147,7 +147,7 @@
   LoadReport RandomReport() {
     LoadReport report;
     if (random_.Percent(50)) {
-      report.in_work = static_cast<double>(random_.Below(10));
+      report.running_jobs = static_cast<double>(random_.Below(10));
       report.waiting = static_cast<double>(random_.Below(4));
       report.cpu_share = static_cast<double>(random_.Below(8)) / 8.0;
     }
@@ -175,9 +175,9 @@
 
   void PostAttemptEnded(AttemptId id) {
     static const std::vector<Outcome> kOutcomes{
-        Outcome::kServed,    Outcome::kServed,  Outcome::kServed,        Outcome::kServed,
-        Outcome::kError,     Outcome::kFull,    Outcome::kConnectFailed, Outcome::kLost,
-        Outcome::kCancelled, Outcome::kTimeout, Outcome::kNotSent};
+        Outcome::kServed,    Outcome::kServed,   Outcome::kServed,        Outcome::kServed,
+        Outcome::kError,     Outcome::kRejected, Outcome::kConnectFailed, Outcome::kLost,
+        Outcome::kCancelled, Outcome::kTimeout,  Outcome::kNotSent};
     AttemptEnded ended;
     ended.attempt = id;
     ended.outcome = random_.Pick(kOutcomes);
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -143,8 +143,8 @@
     const bool unsafe = repeat == Repeat::kUnsafe;
     CHECK(std::holds_alternative<Served>(AnswerToReceivedJob(repeat, Outcome::kServed)));
     CHECK(std::holds_alternative<Failure>(AnswerToReceivedJob(repeat, Outcome::kLost)) == unsafe);
-    CHECK(std::holds_alternative<Rejection>(AnswerToReceivedJob(repeat, Outcome::kFull)));
-    CHECK(std::holds_alternative<Failure>(AnswerToReceivedJob(repeat, Outcome::kFull, true)) == unsafe);
+    CHECK(std::holds_alternative<Rejection>(AnswerToReceivedJob(repeat, Outcome::kRejected)));
+    CHECK(std::holds_alternative<Failure>(AnswerToReceivedJob(repeat, Outcome::kRejected, true)) == unsafe);
   }
 }
 
--- a/tests/daemon/worker_response_test.cpp
+++ b/tests/daemon/worker_response_test.cpp
@@ -52,7 +52,8 @@
       {"no line's end, chunked", chunked + Chunk(done) + "0\r\n\r\n", Then::kNothing, Outcome::kServed},
       {"no line's end, closed", until_end + done, Then::kClose, Outcome::kServed},
       {"no line's end, closed within the framing", chunked + Chunk(done), Then::kClose, Outcome::kServed},
-      {"no line's end, handed back", chunked + Chunk(returned) + "0\r\n\r\n", Then::kNothing, Outcome::kFull},
+      {"no line's end, handed back", chunked + Chunk(returned) + "0\r\n\r\n", Then::kNothing,
+       Outcome::kRejected},
       {"cut before the last line",
        chunked + Chunk(R"({"id":"id","state":"running"})"
                        "\n"),
--- a/tests/dispatch/retry_policy_test.cpp
+++ b/tests/dispatch/retry_policy_test.cpp
@@ -43,7 +43,7 @@
   Request request{.job_class = kRepeatableClass, .deadline = 700};
   request.attempts = {Attempt{.worker = 0, .sent = 100}};
   EXPECT_EQ(LatestAttemptStart(settings, request), 700);
-  settings.second_copies = false;
+  settings.hedging = false;
   EXPECT_EQ(LatestAttemptStart(settings, request), 0);
 }
 
--- a/tests/dispatch/selection_test.cpp
+++ b/tests/dispatch/selection_test.cpp
@@ -83,7 +83,7 @@
 
 TEST(SlowStart, CapacityGrowsEvenlyWhileWarmingUp) {
   Settings settings = BasicSettings();  // warm after 20 s
-  settings.cold_share = 0.2;
+  settings.cold_capacity_share = 0.2;
   ModuleParts parts(settings);
   WorkerEntry starting = Entry("starting");
   starting.since = parts.context.now();
@@ -111,8 +111,8 @@
 Settings SlowStartSettings() {
   Settings settings = BasicSettings();
   settings.overload_factor = 3.0;
-  settings.fall = kSecond;
-  settings.cold_share = 0.5;
+  settings.overload_window = kSecond;
+  settings.cold_capacity_share = 0.5;
   settings.warm_after = 1000 * kSecond;
   return settings;
 }
--- a/tests/dispatch/worker_parts_test.cpp
+++ b/tests/dispatch/worker_parts_test.cpp
@@ -57,7 +57,7 @@
   EXPECT_FALSE(FreeSlotsIn(report, 4.0).has_value());
   report.cpu_share = 0.5;
   EXPECT_DOUBLE_EQ(*FreeSlotsIn(report, 4.0), 0.0);
-  report.in_work = 1.0;
+  report.running_jobs = 1.0;
   EXPECT_DOUBLE_EQ(*FreeSlotsIn(report, 4.0), 1.0);
   report.free_slots = 4.0;
   EXPECT_DOUBLE_EQ(*FreeSlotsIn(report, 4.0), 2.0);
@@ -208,7 +208,7 @@
 TEST(EndpointListPolling, BacksOffUntilAListArrives) {
   Settings settings = BasicSettings();
   settings.subscribe = true;
-  settings.must_ask_in = 32 * kSecond;
+  settings.max_list_poll_interval = 32 * kSecond;
   ModuleParts parts(settings);
   parts.list_polling.Begin();
   EXPECT_EQ(Count<SetTimer>(parts.actions), 1);
--- a/tests/dispatch_digest_test.cpp
+++ b/tests/dispatch_digest_test.cpp
@@ -78,7 +78,7 @@
     Add(cancel.request);
     Add(static_cast<std::uint64_t>(cancel.attempt_number));
   }
-  void AddFields(const Refuse& refuse) {
+  void AddFields(const Reject& refuse) {
     Add(refuse.request);
     Add(refuse.retry_after);
   }
@@ -142,16 +142,16 @@
   settings.reports = static_cast<Settings::Reports>(draws->Below(3));
   settings.probes = draws->OneIn(2);
   settings.cancel = draws->OneIn(2);
-  settings.second_copies = draws->OneIn(2);
+  settings.hedging = draws->OneIn(2);
   settings.retry_after = draws->OneIn(2);
   settings.max_attempts = static_cast<int>(draws->Between(1, 4));
   settings.max_retry_after = draws->Between(100, 10'000) * 1'000;
   settings.answer_slack = draws->Between(0, 100) * 1'000;
   settings.drain_grace = draws->Between(0, 1'000) * 1'000;
-  settings.must_ask_in = draws->Between(1, 60) * kSecond;
+  settings.max_list_poll_interval = draws->Between(1, 60) * kSecond;
   settings.overload_factor = draws->Hundredths(50, 400);
-  settings.fall = draws->Between(100, 5'000) * 1'000;
-  settings.cold_share = draws->Hundredths(0, 100);
+  settings.overload_window = draws->Between(100, 5'000) * 1'000;
+  settings.cold_capacity_share = draws->Hundredths(0, 100);
   settings.warm_after = draws->Between(0, 60) * kSecond;
   settings.price_cross_zone = draws->Hundredths(0, 50);
   settings.price_probe = draws->Hundredths(0, 10);
@@ -189,7 +189,7 @@
     case 3:  // watched endpoint list, starts are reported, hedging and cancellation are allowed
       settings->subscribe = true;
       settings->reports_start = true;
-      settings->second_copies = true;
+      settings->hedging = true;
       settings->cancel = true;
       settings->max_attempts = 3;
       keyed(KeyScope::kAll);
@@ -222,7 +222,7 @@
       Play(events_[next.event]);
     }
     for (int i = 0; i < workers_; ++i)
-      digest_.Add(static_cast<std::uint64_t>(dispatcher_.Avoids(WorkerName(i))));
+      digest_.Add(static_cast<std::uint64_t>(dispatcher_.IsEjected(WorkerName(i))));
     return digest_.value();
   }
   // By the index of the action's alternative.
@@ -350,7 +350,7 @@
         report.free_slots = draws_.Hundredths(-100, 600);
         break;
       case 1:
-        report.in_work = draws_.Hundredths(0, 600);
+        report.running_jobs = draws_.Hundredths(0, 600);
         report.waiting = draws_.Hundredths(0, 300);
         break;
       case 2:
@@ -385,7 +385,7 @@
       return;  // a worker that answers nothing, unless the attempt is cancelled
     const Outcome outcome = DrawOutcome();
     const bool runs =
-        outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
+        outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
     if (runs && settings_.reports_start)
       Schedule(delay, Progress{send.request, number, true, 0.0});
     const Micros ran = runs ? draws_.Below(2 * run_) : 0;
@@ -409,7 +409,7 @@
     end.outcome = Outcome::kCancelled;
     Schedule(draws_.Below(20'000), end);
   }
-  void CarryOut(const Refuse& refuse) { requests_[refuse.request].ended = true; }
+  void CarryOut(const Reject& refuse) { requests_[refuse.request].ended = true; }
   void CarryOut(const Fail& fail) { requests_[fail.request].ended = true; }
   void CarryOut(const SetTimer& timer) { Schedule(timer.delay, TimerFired{timer.token}); }
   void CarryOut(const Probe& probe) {
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -53,7 +53,7 @@
   s.zone = "near";
   s.reports_start = true;
   s.cancel = true;
-  s.second_copies = true;
+  s.hedging = true;
   s.max_attempts = 3;
   s.drain_grace = kSecond / 2;
   s.warm_after = 20 * kSecond;
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -40,7 +40,7 @@
       d.all.clear();
       for (int id = 1; id < 50; ++id) {
         d.Arrive(id, job_class);
-        d.End(id, 0, Outcome::kFull);
+        d.End(id, 0, Outcome::kRejected);
         d.Advance(d.now + kSecond / 10);
       }
       EXPECT_GT(Count<Send>(d.all), 0);
@@ -70,14 +70,14 @@
   WorkerEntry leaving = Entry(first == "a" ? "b" : "a");
   leaving.state = WorkerEntry::State::kDraining;
   d.List({leaving}, WorkerList::Form::kDelta);
-  for (const Send& send : Only<Send>(d.End(1, 0, Outcome::kFull)))
+  for (const Send& send : Only<Send>(d.End(1, 0, Outcome::kRejected)))
     EXPECT_EQ(send.worker, first);
 }
 
 TEST(EndpointList, SubscribesAndPollsUntilAListArrives) {
   Settings s = BasicSettings();
   s.subscribe = true;
-  s.must_ask_in = 10 * kSecond;
+  s.max_list_poll_interval = 10 * kSecond;
   Driver d(s);
   d.List({Entry("a")}, WorkerList::Form::kCached);
   d.Advance(d.now + 10 * kSecond);
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -6,7 +6,7 @@
 namespace aldersill::dispatch::testing {
 namespace {
 
-int FinalAnswers(const std::vector<Action>& actions) { return Count<Refuse>(actions) + Count<Fail>(actions); }
+int FinalAnswers(const std::vector<Action>& actions) { return Count<Reject>(actions) + Count<Fail>(actions); }
 
 TEST(FinalAnswer, AnswersAtTheDeadlineWhereTheAttemptIsSilent) {
   for (const char* job_class : kClasses) {
@@ -56,21 +56,21 @@
   int id = 0;
   while (Count<Send>(d.Arrive(++id, "unsafe", 5 * kSecond, 1, "only")) > 0)
     continue;
-  ASSERT_EQ(Count<Refuse>(d.all), 0);  // the last one is held
+  ASSERT_EQ(Count<Reject>(d.all), 0);  // the last one is held
   d.now += kSecond;
   ClientGone gone;
   gone.request = RequestId{static_cast<std::uint64_t>(id)};
   const auto actions = d.Do(gone);
-  EXPECT_EQ(Count<Refuse>(actions) + Count<Send>(actions), 0);
+  EXPECT_EQ(Count<Reject>(actions) + Count<Send>(actions), 0);
 }
 
 TEST(FinalAnswer, RejectsAtOnceWithoutTimeWorkerOrKnownClass) {
   for (const char* job_class : kClasses) {
     Driver d(BasicSettings());
-    EXPECT_EQ(Count<Refuse>(d.Arrive(1, job_class)), 1) << job_class;
+    EXPECT_EQ(Count<Reject>(d.Arrive(1, job_class)), 1) << job_class;
     d.List({Entry("a")});
-    EXPECT_EQ(Count<Refuse>(d.Arrive(2, job_class, 0)), 1) << job_class;
-    EXPECT_EQ(Count<Refuse>(d.Arrive(3, "unheard-of")), 1);
+    EXPECT_EQ(Count<Reject>(d.Arrive(2, job_class, 0)), 1) << job_class;
+    EXPECT_EQ(Count<Reject>(d.Arrive(3, "unheard-of")), 1);
   }
 }
 
--- a/tests/floors_test.cpp
+++ b/tests/floors_test.cpp
@@ -32,7 +32,7 @@
     return std::uniform_real_distribution<double>(a, b)(random);
   };
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.nodes = nodes;
   s.priority_weight_by_work = random() % 2 == 0;
   s.classes.clear();
@@ -99,7 +99,7 @@
         std::push_heap(running.begin(), running.end());
         running.push_back({*soonest, id, attempts[id]++, true});
         std::push_heap(running.begin(), running.end());
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         const int id = static_cast<int>(static_cast<std::uint64_t>(refuse->request));
         if (!counted[id])
           continue;
--- a/tests/key_affinity_test.cpp
+++ b/tests/key_affinity_test.cpp
@@ -13,7 +13,7 @@
 // The owners of a popular key alone would be overloaded by its jobs.
 TEST(KeyAffinity, SpreadsAPopularKeyBeyondItsOwners) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   Driver d(s);
   std::vector<WorkerEntry> workers;
   for (int i = 0; i < 40; ++i)
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -35,7 +35,7 @@
   std::mt19937_64 random(GetParam());
   const auto draw = [&](int n) { return static_cast<int>(random() % n); };
   Settings s = BasicSettings();
-  s.second_copies = draw(2) == 0;
+  s.hedging = draw(2) == 0;
   s.cancel = draw(2) == 0;
   s.subscribe = draw(2) == 0;
   s.probes = draw(2) == 0;
@@ -58,7 +58,7 @@
         ASSERT_TRUE(ready[send->worker]) << "sent to a worker that is not ready";
         ASSERT_LT(static_cast<int>(l.sent.size()), s.max_attempts);
         for (const Ledger::Sent& a : l.sent) {
-          ASSERT_TRUE(!a.open || s.second_copies);
+          ASSERT_TRUE(!a.open || s.hedging);
           if (!a.may_have_run)
             continue;
           ASSERT_NE(l.job_class, "unsafe");
@@ -73,7 +73,7 @@
           }
         }
         l.sent.push_back({send->worker, d.now});
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         Ledger& l = ledgers.at(refuse->request);
         ASSERT_FALSE(l.ended) << "two final answers";
         l.ended = true;
@@ -156,7 +156,7 @@
           Ledger::Sent& a = l.sent[e.attempt_number];
           if (a.open) {
             a.open = false;
-            a.may_have_run = e.outcome != Outcome::kFull && e.outcome != Outcome::kConnectFailed &&
+            a.may_have_run = e.outcome != Outcome::kRejected && e.outcome != Outcome::kConnectFailed &&
                              e.outcome != Outcome::kNotSent;
             e.request_ended = l.ended || e.outcome == Outcome::kServed;
             l.ended = e.request_ended;
@@ -214,8 +214,8 @@
   expect_named("tenants[0].share", [](Settings* s) { s->tenants[0].share = 1.0 / 0.0; });
   expect_named("tenants", [](Settings* s) { s->tenants[0].share = 0.0; });
   expect_named("nodes", [](Settings* s) { s->nodes = 0; });
-  expect_named("fall", [](Settings* s) { s->fall = 0; });
-  expect_named("cold_share", [](Settings* s) { s->cold_share = 1.5; });
+  expect_named("fall", [](Settings* s) { s->overload_window = 0; });
+  expect_named("cold_share", [](Settings* s) { s->cold_capacity_share = 1.5; });
   expect_named("max_attempts", [](Settings* s) { s->max_attempts = 0; });
 }
 
--- a/tests/retry_safety_test.cpp
+++ b/tests/retry_safety_test.cpp
@@ -9,7 +9,7 @@
 namespace aldersill::dispatch::testing {
 namespace {
 
-constexpr Outcome kProvenNotRun[] = {Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotSent};
+constexpr Outcome kProvenNotRun[] = {Outcome::kRejected, Outcome::kConnectFailed, Outcome::kNotSent};
 
 constexpr Outcome kMayHaveRun[] = {Outcome::kError, Outcome::kTimeout, Outcome::kLost, Outcome::kCancelled};
 
@@ -36,7 +36,7 @@
       d.Arrive(1, job_class);
       EXPECT_EQ(Count<Send>(d.End(1, 0, outcome)), 1) << job_class;
       EXPECT_EQ(Count<Send>(d.End(1, 1, outcome)), 1) << job_class;
-      EXPECT_EQ(Count<Refuse>(d.End(1, 2, outcome)), 1) << job_class;  // three attempts are allowed
+      EXPECT_EQ(Count<Reject>(d.End(1, 2, outcome)), 1) << job_class;  // three attempts are allowed
     }
   }
 }
@@ -48,7 +48,7 @@
     d.Arrive(1, "unsafe");
     const auto actions = d.End(1, 0, outcome);
     EXPECT_EQ(Count<Send>(actions), 0);
-    EXPECT_EQ(Count<Refuse>(actions), 0);
+    EXPECT_EQ(Count<Reject>(actions), 0);
     EXPECT_EQ(Count<Fail>(actions), 1);
   }
 }
@@ -97,14 +97,14 @@
 
 TEST(RetrySafety, FailsAKeyedRequestThatMayHaveRunAfterItsWindow) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   Driver d(s);
   d.List({Entry("a"), Entry("b")});
   d.Arrive(1, "keyed");
   d.Advance(d.now + 2 * kSecond);
   const auto late = d.End(1, 0, Outcome::kLost);
   EXPECT_EQ(Count<Send>(late), 0);
-  EXPECT_EQ(Count<Refuse>(late), 0);
+  EXPECT_EQ(Count<Reject>(late), 0);
   EXPECT_EQ(Count<Fail>(late), 1);
 }
 
@@ -115,12 +115,12 @@
   Driver d(s);
   d.List({Entry("a")});
   d.Arrive(1, "keyed");
-  EXPECT_EQ(Count<Refuse>(d.End(1, 0, Outcome::kError)), 1);
+  EXPECT_EQ(Count<Reject>(d.End(1, 0, Outcome::kError)), 1);
 }
 
 TEST(RetrySafety, KeepsOneAttemptOpenWhereHedgingIsForbidden) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   for (const char* job_class : kClasses) {
     Driver d(s);
     d.List({Entry("a"), Entry("b")});
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -17,8 +17,8 @@
     Settings s = BasicSettings();
     s.nodes = nodes;
     s.overload_factor = 2.5;
-    s.fall = kSecond;
-    s.cold_share = 0.12;
+    s.overload_window = kSecond;
+    s.cold_capacity_share = 0.12;
     s.warm_after = 20 * kSecond;
     const Micros start = 1000 * kSecond;
     std::vector<Micros> sends;
@@ -42,11 +42,11 @@
     // One slot, as no report said otherwise; an unknown job counts as the class's target.
     const double job = s.classes[2].target;
     for (std::size_t first = 0, last = 0; last < sends.size(); ++last) {
-      while (sends[last] - sends[first] > s.fall)
+      while (sends[last] - sends[first] > s.overload_window)
         ++first;
-      const double able =
-          s.cold_share + (1.0 - s.cold_share) * static_cast<double>(sends[first]) / s.warm_after;
-      const double bound = s.overload_factor * able * s.fall;
+      const double able = s.cold_capacity_share +
+                          (1.0 - s.cold_capacity_share) * static_cast<double>(sends[first]) / s.warm_after;
+      const double bound = s.overload_factor * able * s.overload_window;
       // The job that opens the window is left out: one is always possible, whatever its size.
       const double sent = static_cast<double>(last - first) * job;
       ASSERT_LE(sent, bound) << nodes << " nodes at " << sends[last];
@@ -59,8 +59,8 @@
   Settings s = BasicSettings();
   s.nodes = 200;
   s.overload_factor = 2.5;
-  s.fall = kSecond;
-  s.cold_share = 0.12;
+  s.overload_window = kSecond;
+  s.cold_capacity_share = 0.12;
   s.warm_after = 20 * kSecond;
   const Micros start = 1000 * kSecond;
   const Micros surge = start + 15 * kSecond;
@@ -75,14 +75,14 @@
     d.now = surge;
     d.all.clear();
     for (int id = 2; id <= 22; ++id) {
-      d.Advance(d.now + s.fall / 20);
+      d.Advance(d.now + s.overload_window / 20);
       d.Arrive(id, "unsafe");
     }
     sends += Count<Send>(d.all);
   }
-  const double able = s.cold_share + (1.0 - s.cold_share) * 15.0 / 20.0;
+  const double able = s.cold_capacity_share + (1.0 - s.cold_capacity_share) * 15.0 / 20.0;
   EXPECT_GT(sends, 0);
-  EXPECT_LE(sends * s.classes[2].target, s.overload_factor * able * s.fall);
+  EXPECT_LE(sends * s.classes[2].target, s.overload_factor * able * s.overload_window);
 }
 
 // With turns in place of draws, each of a hundred nodes had its turn for under a second in ten minutes and
@@ -90,10 +90,10 @@
 TEST(SlowStartOfWorkers, ManyNodesTogetherUseTheAllowanceOfWarmingWorkers) {
   Settings s = BasicSettings();
   s.nodes = 100;
-  s.second_copies = false;
+  s.hedging = false;
   s.overload_factor = 3.0;
-  s.fall = 3 * kSecond;
-  s.cold_share = 0.3;
+  s.overload_window = 3 * kSecond;
+  s.cold_capacity_share = 0.3;
   s.warm_after = 9 * kSecond;
   s.classes[0].target = 2 * kSecond;  // ten times what a job of the others takes
   int to_cold[2] = {0, 0};            // short ones, long ones: half of the jobs each
@@ -131,8 +131,8 @@
   Settings s = BasicSettings();
   s.nodes = 200;
   s.overload_factor = 3.0;
-  s.fall = 3 * kSecond;
-  s.cold_share = 0.3;
+  s.overload_window = 3 * kSecond;
+  s.cold_capacity_share = 0.3;
   s.warm_after = 9 * kSecond;
   int to_last = 0;
   for (int node = 0; node < s.nodes; ++node) {
@@ -145,7 +145,7 @@
     d.List(workers);
     std::mt19937_64 random(node);
     std::exponential_distribution<double> gap(1.0);
-    const Micros until = d.now + s.fall;
+    const Micros until = d.now + s.overload_window;
     for (int id = 1;; ++id) {
       d.Advance(d.now + 10 + static_cast<Micros>(gap(random) * kSecond));
       if (d.now >= until)
@@ -154,15 +154,15 @@
         to_last += send.worker == "last0";
     }
   }
-  const double able = s.cold_share + (1.0 - s.cold_share) * 2.0 / 9.0;
+  const double able = s.cold_capacity_share + (1.0 - s.cold_capacity_share) * 2.0 / 9.0;
   EXPECT_GT(to_last, 0);
-  EXPECT_LE(to_last * s.classes[2].target, s.overload_factor * able * s.fall);
+  EXPECT_LE(to_last * s.classes[2].target, s.overload_factor * able * s.overload_window);
 }
 
 // Workers of which nothing is known look free and are not where most of a fleet warms up.
 TEST(SlowStartOfWorkers, AJobDrawnForAWarmingWorkerGoesThere) {
   Settings s = BasicSettings();
-  s.cold_share = 0.3;
+  s.cold_capacity_share = 0.3;
   s.overload_factor = 30.0;  // so that every job is drawn
   Driver d(s);
   std::vector<WorkerEntry> workers = {Entry("free"), Entry("cold")};
--- a/tests/throttle_test.cpp
+++ b/tests/throttle_test.cpp
@@ -18,7 +18,7 @@
     c.deadline = 1000 * kSecond;
   }
   s.tenants = {{"only", 1.0, 1.0}};
-  s.second_copies = false;
+  s.hedging = false;
   return s;
 }
 
@@ -74,12 +74,12 @@
   EXPECT_EQ(Count<Send>(d.Arrive(1, "unsafe", 1000 * kSecond, 3, "only")), 0);
   EXPECT_EQ(Count<Send>(d.Advance(token)), 1);
   // U = 7: two jobs of three slots wait, U = 1; a third finds U < 3 and is refused whole.
-  EXPECT_EQ(Count<Refuse>(d.Arrive(2, "unsafe", 1000 * kSecond, 3, "only")), 0);
-  EXPECT_EQ(Count<Refuse>(d.Arrive(3, "unsafe", 1000 * kSecond, 3, "only")), 0);
-  EXPECT_EQ(Count<Refuse>(d.Arrive(4, "unsafe", 1000 * kSecond, 3, "only")), 1);
+  EXPECT_EQ(Count<Reject>(d.Arrive(2, "unsafe", 1000 * kSecond, 3, "only")), 0);
+  EXPECT_EQ(Count<Reject>(d.Arrive(3, "unsafe", 1000 * kSecond, 3, "only")), 0);
+  EXPECT_EQ(Count<Reject>(d.Arrive(4, "unsafe", 1000 * kSecond, 3, "only")), 1);
   // A narrow job still fits, U = 0; the next does not.
-  EXPECT_EQ(Count<Refuse>(d.Arrive(5, "unsafe", 1000 * kSecond, 1, "only")), 0);
-  EXPECT_EQ(Count<Refuse>(d.Arrive(6, "unsafe", 1000 * kSecond, 1, "only")), 1);
+  EXPECT_EQ(Count<Reject>(d.Arrive(5, "unsafe", 1000 * kSecond, 1, "only")), 0);
+  EXPECT_EQ(Count<Reject>(d.Arrive(6, "unsafe", 1000 * kSecond, 1, "only")), 1);
 }
 
 TEST(Throttle, RefusesAHeldJobThatRunsShortOfTime) {
@@ -90,7 +90,7 @@
   while (Count<Send>(d.Arrive(id, "unsafe", 1000 * kSecond, 1, "only")) == 1)
     ++id;
   const auto actions = d.Advance(d.now + kSecond / 10);
-  EXPECT_EQ(Count<Refuse>(actions) + Count<Send>(actions), 1);
+  EXPECT_EQ(Count<Reject>(actions) + Count<Send>(actions), 1);
 }
 
 TEST(Throttle, MatchesTheRecursion) {
@@ -113,10 +113,10 @@
       held -= released;
       ASSERT_EQ(held, std::max(0, buffer - u)) << "seed " << seed << " job " << id;
       const auto actions = d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only");
-      ASSERT_EQ(Count<Refuse>(actions), u < 1 ? 1 : 0) << "seed " << seed << " job " << id;
+      ASSERT_EQ(Count<Reject>(actions), u < 1 ? 1 : 0) << "seed " << seed << " job " << id;
       if (u >= 1)
         --u;
-      held += Count<Refuse>(actions) == 0 && Count<Send>(actions) == 0;
+      held += Count<Reject>(actions) == 0 && Count<Send>(actions) == 0;
     }
   }
 }
@@ -146,7 +146,7 @@
     d.Advance(d.now + kSecond / 100);
     const bool modest = id % 25 == 0;  // four a second, of its five
     const auto actions = d.Arrive(id, "repeatable", 1000 * kSecond, 1, modest ? "modest" : "flood");
-    (modest ? refused_modest : refused_flood) += Count<Refuse>(actions);
+    (modest ? refused_modest : refused_flood) += Count<Reject>(actions);
   }
   EXPECT_EQ(refused_modest, 0);
   EXPECT_GT(refused_flood, 2000);
@@ -169,7 +169,7 @@
     for (const Send& sent : Only<Send>(actions)) {
       const int attempt_number = static_cast<int>(static_cast<std::uint64_t>(sent.request));
       if (turns_away(random)) {
-        d.End(attempt_number, 0, Outcome::kFull);
+        d.End(attempt_number, 0, Outcome::kRejected);
       } else {
         d.Start(attempt_number, 0);
         d.End(attempt_number, 0, Outcome::kServed, /*request_ended=*/true);
@@ -177,8 +177,8 @@
     }
   }
   d.Advance(d.now + 10 * kSecond);  // those held longer than they may be are refused by then
-  const auto refused = Only<Refuse>(d.all);
-  const auto counted = std::count_if(refused.begin(), refused.end(), [first](const Refuse& r) {
+  const auto refused = Only<Reject>(d.all);
+  const auto counted = std::count_if(refused.begin(), refused.end(), [first](const Reject& r) {
     return static_cast<int>(static_cast<std::uint64_t>(r.request)) >= first;
   });
   return static_cast<double>(counted) / (end - first);
@@ -223,9 +223,9 @@
     d.List({Entry("w")});
     for (int id = 0; id < 20; ++id)
       d.Arrive(id, "repeatable", 1000 * kSecond, 1, "only");
-    const auto refusals = Only<Refuse>(d.all);
+    const auto refusals = Only<Reject>(d.all);
     ASSERT_FALSE(refusals.empty());
-    for (const Refuse& r : refusals) {
+    for (const Reject& r : refusals) {
       EXPECT_EQ(r.retry_after > 0, heeded);
       EXPECT_LE(r.retry_after, s.max_retry_after);
     }
--- a/tests/unavailable_workers_test.cpp
+++ b/tests/unavailable_workers_test.cpp
@@ -9,7 +9,7 @@
 // No outcome shows that a worker accepts jobs and answers none: its jobs would wait for their deadlines.
 TEST(UnavailableWorkers, EjectsAnUnresponsiveWorkerAndRetriesItsRepeatableJobsElsewhere) {
   Settings s = BasicSettings();
-  s.second_copies = false;
+  s.hedging = false;
   s.cancel = true;
   s.tenants = {{"only", 1.0, 100.0}};
   Driver d(s);
@@ -76,7 +76,7 @@
   };
   for (const Case& c : {Case{3.0, false}, Case{0.0, true}, Case{std::nullopt, true}}) {
     Settings s = BasicSettings();
-    s.second_copies = false;
+    s.hedging = false;
     s.reports_start = false;
     s.probes = true;
     Driver d(s);
--- a/tests/worker_choice_test.cpp
+++ b/tests/worker_choice_test.cpp
@@ -22,7 +22,7 @@
     for (const Send& send : Only<Send>(d.Arrive(id, "unsafe"))) {
       ++sends[send.worker];
       if (send.worker == "full") {
-        d.End(id, 0, Outcome::kFull);
+        d.End(id, 0, Outcome::kRejected);
       } else {
         d.Start(id, 0);
         d.Advance(d.now + kSecond / 20);
@@ -48,7 +48,7 @@
     post_report("a", 4.0, 0.0);
     post_report("a", 0.0, 20.0);
     d.Arrive(1, "unsafe");
-    d.End(1, 0, Outcome::kFull);
+    d.End(1, 0, Outcome::kRejected);
     d.List({Entry("a"), Entry("b")});
     post_report("b", 0.0, 10.0);
     const auto next = Only<Send>(d.Arrive(2, "unsafe"));
@@ -68,7 +68,7 @@
     const std::string first = Only<Send>(d.all)[0].worker;
     AttemptEnded e;
     e.request = RequestId{1};
-    e.outcome = Outcome::kFull;
+    e.outcome = Outcome::kRejected;
     e.report = ReportOfFreeSlots(4.0);
     d.Do(e);
     const auto next = Only<Send>(d.Arrive(2, "unsafe"));
@@ -163,7 +163,7 @@
         d.Start(id, 0);
         d.Advance(d.now + kSecond / 5);
       }
-      d.End(id, 0, send.worker == "full" ? Outcome::kFull : Outcome::kServed, send.worker == "a");
+      d.End(id, 0, send.worker == "full" ? Outcome::kRejected : Outcome::kServed, send.worker == "a");
     }
   }
   EXPECT_GT(sends["a"], 150);
