--- a/tests/fleet/checker.cpp
+++ b/tests/fleet/checker.cpp
@@ -13,10 +13,11 @@
 
 using Kind = Observation::Kind;
 
-// A few attempts may cross their client's leaving: only from these counts on is a rule broken.
-constexpr int kLateAttemptsToFail = 3, kForwardedToFail = 5;
+// An attempt may start while the news that its client has left is still on its way. The rules are therefore
+// violated only from these numbers of cases on.
+constexpr int kMinLateAttempts = 3, kMinForwardedAfterLeaving = 5;
 
-// What was observed of one request so far.
+// What has been observed of one request so far.
 struct RequestState {
   std::string job_class;
   int dispatcher = -1;
@@ -24,13 +25,14 @@
   bool connection_lost = false, dispatcher_killed = false, client_left = false;
   bool left_before_attempt = false;
   std::int64_t sent_at = 0, deadline = 0;
-  std::optional<std::int64_t> ended_at;  // answered, or left by its client: attempts must be stopped
+  // When the request was answered or its client left. Its attempts must be stopped from then on.
+  std::optional<std::int64_t> ended_at;
   std::set<std::uint64_t> open_attempts;
-  std::set<int> closed_by;  // dispatchers that closed its connection without an answer
+  std::set<int> closed_by;  // dispatchers that closed the connection of the request without an answer
   std::set<std::string> results;
 };
 
-// Takes the observations one by one. Each Check method is one rule.
+// Processes the observations one by one. Each Check method implements one rule.
 class Checker {
  public:
   explicit Checker(const Rules& rules) : rules_(rules), drains_(rules), slow_start_(rules) {}
@@ -74,7 +76,7 @@
   const Rules& rules_;
   Verdict verdict_;
   std::map<std::string, RequestState> requests_;
-  std::map<int, std::int64_t> terminated_at_;  // dispatchers that got SIGTERM and have not been restarted
+  std::map<int, std::int64_t> terminated_at_;  // time of SIGTERM, by dispatcher that has not been restarted
   DrainRule drains_;
   SlowStartRule slow_start_;
   LeaseRule lease_;
@@ -161,8 +163,7 @@
   }
 }
 
-// Rule: SIGKILL that follows SIGTERM finds no request unanswered but those that were sent soon after SIGTERM,
-// or before it.
+// Rule: when SIGKILL follows SIGTERM, all unanswered requests were sent before SIGTERM or soon after it.
 void Checker::CheckUnansweredAtKill(const RequestState& request, const std::string& id, int dispatcher) {
   const auto terminated = terminated_at_.find(dispatcher);
   if (terminated != terminated_at_.end() &&
@@ -170,7 +171,7 @@
     Violate("found unanswered by SIGKILL, though sent late after SIGTERM", id);
 }
 
-// A stopped dispatcher has its time to answer and to stop attempts from SIGCONT on.
+// A dispatcher that was stopped could neither answer nor stop attempts, so its time limits start at SIGCONT.
 void Checker::DispatcherResumed(const Observation& resumed) {
   drains_.DispatcherResumed(resumed);
   for (auto& [id, request] : requests_) {
@@ -182,7 +183,7 @@
   }
 }
 
-// Rule: the rig itself uses a request id once, except for a retry after a close without an answer.
+// Rule: the rig uses a request id only once, except to retry after a connection was closed without an answer.
 void Checker::RequestSent(RequestState* request, bool known, const Observation& sent) {
   if (known && request->closed_by.empty())
     Violate("sent twice under one id (a fault of the rig)", sent);
@@ -193,7 +194,7 @@
   ++verdict_.requests;
 }
 
-// Rule: a request is answered once, by its deadline.
+// Rule: a request is answered only once, and by its deadline.
 void Checker::Answered(RequestState* request, const Observation& answer) {
   if (++request->answers > 1)
     Violate("answered twice", answer);
@@ -210,8 +211,8 @@
   }
 }
 
-// Rule: a served request has a result that a worker made for it; and none is answered 4xx but 429, as the
-// rig's requests are well formed.
+// Rule: the result of a served request was produced by a worker for this request. No request is answered with
+// a status of 400 to 499 other than 429, because the rig's requests are well formed.
 void Checker::CheckAnswerIsGenuine(const RequestState& request, const Observation& answer) {
   if (answer.status == 200 && !request.results.contains(answer.text))
     Violate("served with a result that no worker made for it", answer);
@@ -219,7 +220,7 @@
     Violate("answered " + std::to_string(answer.status), answer);
 }
 
-// Rule: a dispatcher that closes a client's connection without an answer has not forwarded the request.
+// Rule: a dispatcher that closes a client's connection unanswered has not forwarded the request before.
 void Checker::ClosedUnanswered(RequestState* request, const Observation& closed) {
   if (request->attempts > 0)
     Violate("forwarded by a dispatcher that closed its connection without an answer", closed);
@@ -235,7 +236,7 @@
     ++verdict_.left_before_attempt;
 }
 
-// Rule: nothing is attempted that no client sent. And all the other rules that limit attempts.
+// Rule: every attempt belongs to a request that a client sent. Also checks all other limits of attempts.
 void Checker::AttemptStarted(RequestState* request, bool known, const Observation& attempt) {
   if (!known)
     Violate("attempted without a client's request", attempt);
@@ -258,18 +259,18 @@
     Violate("forwarded by a dispatcher that closed its connection without an answer", attempt);
 }
 
-// Rule: once a client has left, no attempt of its request starts, from the third such case of a run on.
-// Counts late first attempts for CheckFirstAttemptsAfterLeaving.
+// Rule: no attempt of a request starts after its client has left. Two cases in a run are tolerated. Also
+// counts the late first attempts for CheckFirstAttemptsAfterLeaving.
 void Checker::CheckAttemptsAfterLeaving(const RequestState& request, const Observation& attempt) {
   if (request.client_left && attempt.at > *request.ended_at + rules_.cancel_bound + rules_.slack &&
-      ++verdict_.late_attempts >= kLateAttemptsToFail)
+      ++verdict_.late_attempts >= kMinLateAttempts)
     Violate("an attempt started after its client had left, the third or a later one", attempt);
   if (request.left_before_attempt && request.attempts == 0 &&
       attempt.at > *request.ended_at + rules_.queued_cancel_bound + rules_.slack)
     ++verdict_.forwarded_after_leaving;
 }
 
-// The rule is described in slow_start_rule.h. Reported once for a run.
+// The rule is described in slow_start_rule.h. A run reports only its first violation.
 void Checker::CheckSlowStart(const Observation& attempt) {
   const double load = slow_start_.AddAttempt(attempt);
   if (load > 1.0 && verdict_.peak_slow_start_load <= 1.0)
@@ -283,8 +284,8 @@
     Violate("more attempts than allowed", attempt);
 }
 
-// Rule: a request has one attempt open at a time; where the settings allow hedged requests, two may be open
-// if its class may run twice.
+// Rule: a request has only one open attempt at a time, unless the settings allow hedged requests and its
+// class may run twice.
 void Checker::CheckConcurrentAttempts(const RequestState& request, const Observation& attempt) {
   const bool may_overlap = rules_.hedging_allowed && !rules_.run_once_classes.contains(request.job_class);
   if (!request.open_attempts.empty() && !may_overlap)
@@ -296,13 +297,13 @@
     CheckAttemptStopped(*request, ended);
 }
 
-// Rule: attempts are stopped once their request is answered or its client has left.
+// Rule: an attempt is stopped once its request has been answered or the client has left.
 void Checker::CheckAttemptStopped(const RequestState& request, const Observation& ended) {
   if (request.ended_at && ended.at > *request.ended_at + rules_.slack)
     Violate("an abandoned attempt was not stopped", ended);
 }
 
-// The same rule for attempts that are still open when the run ends.
+// Applies the rule of CheckAttemptStopped to the attempts that are still open at the end of the run.
 void Checker::CheckOpenAttemptsStopped(const Observation& end) {
   for (const auto& [id, request] : requests_) {
     Observation last = end;
@@ -312,7 +313,7 @@
   }
 }
 
-// Rule: a job of a class that must never run twice runs once at most.
+// Rule: a job of a run-once class runs at most once.
 void Checker::JobStarted(RequestState* request, const Observation& started) {
   ++verdict_.jobs_started;
   if (++request->runs > 1 && rules_.run_once_classes.contains(request->job_class))
@@ -325,17 +326,17 @@
     ++verdict_.slow_restarts;
 }
 
-// Rule: of the requests whose client left before their first attempt, at most four, or a quarter, are
-// attempted later all the same.
+// Rule: of the requests whose client left before the first attempt, at most four or a quarter, whichever is
+// more, are attempted later than allowed.
 void Checker::CheckFirstAttemptsAfterLeaving() {
-  if (verdict_.forwarded_after_leaving >= kForwardedToFail &&
+  if (verdict_.forwarded_after_leaving >= kMinForwardedAfterLeaving &&
       verdict_.forwarded_after_leaving * 4 > verdict_.left_before_attempt)
     verdict_.violations.push_back("forwarded although their clients had left before the first attempt: " +
                                   std::to_string(verdict_.forwarded_after_leaving) + " of " +
                                   std::to_string(verdict_.left_before_attempt));
 }
 
-// Rule: nine in ten restarted dispatchers are ready in time.
+// Rule: at least nine in ten restarted dispatchers are ready within the startup bound.
 void Checker::CheckRestarts() {
   if (verdict_.slow_restarts * 10 > verdict_.restarts)
     verdict_.violations.push_back(
--- a/tests/fleet/checker_test.cpp
+++ b/tests/fleet/checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker finds each broken rule in a list of observations that breaks no other.
+// Tests that the checker finds each rule's violation in a list of observations that violates no other rule.
 #include "fleet/checker.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
   return rules;
 }
 
-// An observation at dispatcher 0 and worker 0.
+// Returns an observation at dispatcher 0 and worker 0.
 Observation Seen(Kind kind, const std::string& request = "", std::uint64_t attempt = 0) {
   return {.kind = kind, .request = request, .dispatcher = 0, .worker = 0, .attempt = attempt};
 }
@@ -61,14 +61,14 @@
   return result;
 }
 
-// Of kWorkerChanged, kWorkerAnnounced and kDiscoveryReachable.
+// Returns an observation of the kind kWorkerChanged, kWorkerAnnounced or kDiscoveryReachable.
 Observation Available(Kind kind, bool available) {
   Observation seen = Seen(kind);
   seen.available = available;
   return seen;
 }
 
-// One request with two attempts, of which the first did not run, and served.
+// Returns the observations of a request whose first attempt did not run the job, and whose second served it.
 Observations Good(const std::string& job_class) {
   return {Sent("a", job_class),         Attempt("a", 1),  AttemptEnd("a", 1), Attempt("a", 2),
           Seen(Kind::kJobStarted, "a"), Result("a", "r"), AttemptEnd("a", 2), Answer("a", 200, "r")};
@@ -79,7 +79,7 @@
   return verdict.violations.empty() ? "" : verdict.violations.front();
 }
 
-// The first violation whose line contains `rule`.
+// Returns the first violation whose line contains `rule`, or an empty string.
 std::string FirstViolationOf(const std::string& rule, const Observations& observations) {
   for (const std::string& line : Check(observations, TwoAttempts()).violations) {
     if (line.find(rule) != std::string::npos)
@@ -88,7 +88,7 @@
   return "";
 }
 
-TEST_CASE("a good run breaks no rule, and each injected violation is found") {
+TEST_CASE("a good run violates no rule, and each injected violation is found") {
   CHECK(FirstViolation(Good("cobro")) == "");
   const struct {
     const char* rule;
@@ -117,7 +117,7 @@
   CHECK(FirstViolation(run) == "answered after its deadline: a");
   run.back() = Seen(Kind::kConnectionLost, "a");
   CHECK(FirstViolation(run) == "connection ended without an answer: a");
-  // A killed dispatcher may leave its requests unanswered; the kill of another one excuses nothing.
+  // A killed dispatcher may leave its own requests unanswered, but not those of other dispatchers.
   run.back() = Seen(Kind::kDispatcherKilled);
   run.back().dispatcher = 1;
   CHECK(FirstViolation(run) == "never answered: a");
@@ -139,7 +139,7 @@
   }
 }
 
-TEST_CASE("hedged requests are for classes that may run twice") {
+TEST_CASE("only requests of classes that may run twice are hedged") {
   Rules rules = TwoAttempts();
   rules.hedging_allowed = true;
   for (const char* job_class : {"certificado", "cobro"}) {
@@ -150,7 +150,7 @@
   }
 }
 
-TEST_CASE("one dispatcher at a time holds the lease, between its reports under one term") {
+TEST_CASE("only one dispatcher at a time holds the lease, between its reports under one term") {
   const auto holds = [](int dispatcher, std::uint64_t term, std::int64_t asked_ms, std::int64_t answered_ms) {
     Observation report = At(answered_ms, Seen(Kind::kLeaseReported));
     report.dispatcher = dispatcher;
@@ -167,7 +167,8 @@
             {holds(0, 1, 0, 1), holds(1, 2, 90, 99), holds(0, 3, 100, 150), holds(1, 2, 200, 201)}) == "");
 }
 
-// The first violation if dispatcher 0 starts, `before` happens, and it starts an attempt at worker 0 at `ms`.
+// Returns the first violation of a run in which dispatcher 0 starts, `before` is observed, and the dispatcher
+// starts an attempt at worker 0 at the time `ms`.
 std::string ViolationOfAttemptAt(std::int64_t ms, Observations before) {
   before.insert(before.begin(), Seen(Kind::kDispatcherStarted));
   before.push_back(Sent("a", "certificado", ms));
@@ -184,14 +185,15 @@
   const Observation announced = At(1'000, Available(Kind::kWorkerAnnounced, false));
   const Observation back = Available(Kind::kWorkerChanged, true);
   const Observation announced_back = Available(Kind::kWorkerAnnounced, true);
-  CHECK(ViolationOfAttemptAt(1'800, {drains, announced}) == "");  // grace 300, slack 500
+  CHECK(ViolationOfAttemptAt(1'800, {drains, announced}) == "");  // 300 ms drain grace and 500 ms slack
   CHECK(ViolationOfAttemptAt(1'801, {drains, announced}) == kSentToDraining);
   CHECK(ViolationOfAttemptAt(1'801, {drains, announced, back}) == kSentToDraining);
   CHECK(ViolationOfAttemptAt(1'801, {drains, announced, back, announced_back}) == "");
   CHECK(ViolationOfAttemptAt(6'800, {drains}) == "");
   CHECK(ViolationOfAttemptAt(6'801, {drains}) == kSentToDraining);
   CHECK(ViolationOfAttemptAt(6'801, {drains, back}) == "");
-  // A new process has received no announcement; a resumed one has the grace from then on.
+  // A new process has not received any announcement. A resumed process has the drain grace from its
+  // resumption on.
   const Observation restarted = At(1'500, Seen(Kind::kDispatcherStarted));
   CHECK(ViolationOfAttemptAt(8'300, {drains, announced, restarted}) == "");
   CHECK(ViolationOfAttemptAt(8'301, {drains, announced, restarted}) == kSentToDraining);
@@ -200,7 +202,7 @@
   CHECK(ViolationOfAttemptAt(3'801, {drains, announced, resumed}) == kSentToDraining);
 }
 
-TEST_CASE("a change while discovery cannot be reached counts from when it can be reached again") {
+TEST_CASE("a change while discovery is unreachable counts from when discovery is reachable again") {
   const auto reachable = [](std::int64_t ms, bool available) {
     return At(ms, Available(Kind::kDiscoveryReachable, available));
   };
@@ -208,11 +210,11 @@
   const Observations cut_off = {reachable(0, false), drains, reachable(3'000, true)};
   CHECK(ViolationOfAttemptAt(9'800, cut_off) == "");
   CHECK(ViolationOfAttemptAt(9'801, cut_off) == kSentToDraining);
-  // A change from before counts from before; and discovery that was reachable all along delays nothing.
+  // A change before the outage counts from its own time, and so does any change if there was no outage.
   CHECK(ViolationOfAttemptAt(7'801, {drains, reachable(2'000, false), reachable(5'000, true)}) ==
         kSentToDraining);
   CHECK(ViolationOfAttemptAt(7'801, {drains, reachable(5'000, true)}) == kSentToDraining);
-  // A worker that is back may be used, however late the announcement.
+  // A worker that is available again may be used, even if this has not been announced yet.
   const Observation back = At(2'000, Available(Kind::kWorkerChanged, true));
   CHECK(ViolationOfAttemptAt(9'801, {reachable(0, false), drains, back, reachable(3'000, true)}) == "");
 }
@@ -234,15 +236,15 @@
   CHECK(ViolationOfAttemptAt(6'800, {drains_before, moved}) == "");
   CHECK(ViolationOfAttemptAt(6'801, {drains_before, moved}) == kSentToDraining);
   CHECK(ViolationOfAttemptAt(6'801, {moved, drains_after}) == kSentToDraining);
-  // A further move does not begin the time anew, and neither does the previous address.
+  // Neither another move nor an announcement at the previous address restarts the time.
   CHECK(ViolationOfAttemptAt(6'801, {moved, drains_after, reloaded(5'000, 2)}) == kSentToDraining);
   CHECK(ViolationOfAttemptAt(6'801, {moved, announced(2'500, 0), drains_after}) == kSentToDraining);
-  // The new address does: from then on changes are announced there.
+  // An announcement at the new address does, because from then on changes are announced there.
   CHECK(ViolationOfAttemptAt(9'800, {moved, announced(2'500, 1), drains_after}) == "");
   CHECK(ViolationOfAttemptAt(9'801, {moved, announced(2'500, 1), drains_after}) == kSentToDraining);
 }
 
-TEST_CASE("SIGKILL finds no request unanswered that was sent late after SIGTERM") {
+TEST_CASE("SIGKILL must not find a request unanswered that was sent late after SIGTERM") {
   const auto violation = [](std::int64_t sent_ms, bool terminated) {
     Observations run = {Seen(Kind::kDispatcherStarted)};
     if (terminated)
@@ -251,13 +253,14 @@
     run.push_back(At(4'700, Seen(Kind::kDispatcherKilled)));
     return FirstViolation(run);
   };
-  CHECK(violation(1'800, true) == "");  // 700 ms, and 100 ms of slack
+  CHECK(violation(1'800, true) == "");  // 700 ms allowance and 100 ms slack
   CHECK(violation(1'801, true) == "found unanswered by SIGKILL, though sent late after SIGTERM: a");
   CHECK(violation(1'801, false) == "");
 }
 
-// Requests whose clients left after a second: `forwarded` of them are first attempted `later_ms` after that,
-// the others never. The attempts end at once, and so are stopped in time.
+// Returns the observations of requests whose clients left after one second. `forwarded` of them are attempted
+// for the first time `later_ms` after that, the others are never attempted. The attempts end at once, so that
+// they are stopped in time.
 Observations Left(int forwarded, int not_forwarded, std::int64_t later_ms) {
   Observations run;
   for (int i = 0; i < forwarded + not_forwarded; ++i) {
@@ -272,13 +275,13 @@
   return run;
 }
 
-TEST_CASE("attempts that start after their client has left break a rule from the third on") {
+TEST_CASE("attempts that start after their client has left violate a rule from the third on") {
   const std::string rule = "started after its client had left";
   CHECK(FirstViolationOf(rule, Left(2, 0, 601)) == "");
   CHECK(FirstViolationOf(rule, Left(3, 0, 600)) == "");
   CHECK(FirstViolationOf(rule, Left(3, 0, 601)) ==
         "an attempt started after its client had left, the third or a later one: r2");
-  // A retry counts as well; for a dispatcher that was stopped the time counts from when it resumed.
+  // A retry counts too. For a dispatcher that was stopped, the time counts from its resumption.
   Observations run = Left(2, 0, 601);
   for (const Observation& seen : {Sent("a", "certificado"), Attempt("a", 11), AttemptEnd("a", 11),
                                   At(1'000, Seen(Kind::kClientLeft, "a")), At(1'601, Attempt("a", 12))})
@@ -288,7 +291,7 @@
   CHECK(FirstViolationOf(rule, run) == "");
 }
 
-TEST_CASE("of requests left before their first attempt, a quarter and four at most are forwarded later") {
+TEST_CASE("of requests left before the first attempt, at most four or a quarter are forwarded later") {
   const std::string rule = "forwarded although their clients had left before the first attempt: ";
   CHECK(FirstViolationOf(rule, Left(5, 0, 800)) == "");
   CHECK(FirstViolationOf(rule, Left(5, 0, 801)) == rule + "5 of 5");
@@ -297,14 +300,16 @@
   CHECK(FirstViolationOf(rule, Left(5, 14, 801)) == rule + "5 of 19");
 }
 
-TEST_CASE("a worker in slow start gets what it bears, and chance, from all dispatchers together") {
+TEST_CASE(
+    "a worker in slow start gets at most its share and a margin for chance from all dispatchers together") {
   Rules rules = TwoAttempts();
   rules.max_attempts = 1;
-  rules.warm_calls = 80.0;  // in a second; half a second more is slack
+  rules.warm_calls = 80.0;  // per second; the slack adds half a second to the window
   rules.slow_start_share = 0.3;
   rules.slow_start_window = 1'000 * kMs;
   rules.slow_start_duration = 1'000'000 * kMs;
-  // 80 x 0.3 x 1.5 = 36, 2 x 6 + 2: so many calls, by the dispatchers in turn, `interval_ms` apart.
+  // Allowed are 80 x 0.3 x 1.5 = 36 calls, and 2 x 6 + 2 = 14 for chance. The calls are made by the
+  // dispatchers in turn, `interval_ms` apart.
   const auto violation = [&](int calls, std::int64_t interval_ms, bool started) {
     Observations run = {At(0, Available(Kind::kWorkerChanged, started))};
     for (int i = 0; i < calls; ++i) {
@@ -321,10 +326,10 @@
   CHECK(violation(52, 10, true) ==
         "a worker in slow start got more calls than it bears, and chance allows: r50");
   CHECK(violation(52, 20, true) == "");
-  CHECK(violation(30, 10, false) == "");  // it did not start
+  CHECK(violation(30, 10, false) == "");  // the worker did not start
 }
 
-TEST_CASE("nine in ten restarted dispatchers are ready in time") {
+TEST_CASE("at least nine in ten restarted dispatchers must be ready in time") {
   const auto violation = [](int in_time, int late, std::int64_t late_ms) {
     Observations run(in_time + late, Seen(Kind::kRestartFinished));
     for (int i = 0; i < in_time + late; ++i)
@@ -336,7 +341,8 @@
   CHECK(violation(8, 1, 0) == "restarted dispatchers not ready in time: 1 of 9");
 }
 
-TEST_CASE("a request on an idle connection that is closed may be retried, if it was not forwarded") {
+TEST_CASE(
+    "a request on a connection that was closed without an answer may be retried if it was not forwarded") {
   Observations run = Good("cobro");
   run.insert(run.begin(), {Sent("a", "cobro"), Seen(Kind::kClosedUnanswered, "a")});
   for (std::size_t i = 2; i < run.size(); ++i)
@@ -348,11 +354,11 @@
   CHECK(FirstViolation(before) == violation);
   after.insert(after.begin() + 3, {Attempt("a", 8), AttemptEnd("a", 8)});
   CHECK(FirstViolation(after) == violation);
-  // One that is not retried is not owed an answer.
+  // A request that is not retried does not need an answer.
   CHECK(FirstViolation({Sent("a", "cobro"), Seen(Kind::kClosedUnanswered, "a")}) == "");
 }
 
-TEST_CASE("classes that may run again are not held to one run") {
+TEST_CASE("jobs of classes that may run again may run twice") {
   Observations run = Good("certificado");
   run.insert(run.begin() + 5, Seen(Kind::kJobStarted, "a"));
   CHECK(FirstViolation(run) == "");
--- a/tests/fleet/drain_rule.cpp
+++ b/tests/fleet/drain_rule.cpp
@@ -52,7 +52,7 @@
 }
 
 void DrainRule::DispatcherReloaded(const Observation& reloaded) {
-  // Further reloads do not begin the time anew.
+  // Further reloads do not restart the time.
   Move& move = moves_.try_emplace(reloaded.dispatcher, Move{.at = reloaded.at}).first->second;
   move.address = reloaded.discovery_address;
   for (const int worker : unavailable_workers_) {
--- a/tests/fleet/fleet_run.cpp
+++ b/tests/fleet/fleet_run.cpp
@@ -29,9 +29,9 @@
 
 constexpr Micros kTickInterval = 10 * kMillisecond;
 constexpr Micros kConvergenceBound = 30 * kSecond;
-constexpr int kMarginMs = 100;  // after the timetable's length
+constexpr int kMarginMs = 100;  // added to the timetable's length before the run may end
 
-// Owns the parts of one run and ends it once nothing is waited for.
+// Owns the parts of one run, and ends it once nothing is pending.
 class FleetRun {
  public:
   FleetRun(const Timetable& table, const Deployment& deployment, const std::string& program)
@@ -108,20 +108,20 @@
     }
   }
 
-  // Members have some time to converge after all else is over.
+  // Once nothing else is pending, the cluster has kConvergenceBound to converge.
   bool IsOver() {
     if (!NothingIsPending())
       return false;
     const Micros now = recorder_.clock().Now();
-    if (!pending_until_)
-      pending_until_ = now;
+    if (!idle_since_)
+      idle_since_ = now;
     converged_ = cluster_ == nullptr || cluster_->HasConverged();
-    return converged_ || now - *pending_until_ > kConvergenceBound;
+    return converged_ || now - *idle_since_ > kConvergenceBound;
   }
 
   bool NothingIsPending() const {
     const bool all_sent = SteadyNow() - started_ >= (table_.length_ms + kMarginMs) * kMillisecond;
-    // An attempt that is never stopped must not keep the run going.
+    // An attempt that is never stopped must not prolong the run for ever.
     const Micros last_end =
         std::max({clients_.last_end(), keep_alive_clients_.last_end(), slow_clients_.last_end()});
     const bool stop_overdue = SteadyNow() - last_end > 2 * deployment_.rules.slack;
@@ -144,7 +144,7 @@
     return result;
   }
 
-  // The parts are destroyed in the opposite order: callbacks of a part may use the ones above it.
+  // Callbacks of a part may use the parts declared above it, which are destroyed after it.
   const Timetable table_;
   const Deployment deployment_;
   EventPtr<event_base> base_;
@@ -154,7 +154,7 @@
   WorkerStandIns workers_;
   WorkerLinks links_;
   FleetDiscovery discovery_;
-  std::unique_ptr<ClusterMembership> cluster_;  // null if the dispatchers do not know one another
+  std::unique_ptr<ClusterMembership> cluster_;  // null if the dispatchers do not form a cluster
   Dispatchers dispatchers_;
   ServiceClients clients_;
   KeepAliveClients keep_alive_clients_;
@@ -163,7 +163,7 @@
   FaultInjector faults_;
   Timer tick_;
   const Micros started_ = SteadyNow();
-  std::optional<Micros> pending_until_;  // since when nothing is waited for
+  std::optional<Micros> idle_since_;  // time since which only convergence is pending
   bool converged_ = true;
 };
 
--- a/tests/fleet/fleet_run.h
+++ b/tests/fleet/fleet_run.h
@@ -1,6 +1,6 @@
-// Runs a timetable: real dispatcher processes, stand-in workers, discovery and service clients, and a link of
-// its own between each dispatcher and each worker. All but the processes share one event loop, so that there
-// is one order of what is observed.
+// Runs a timetable with real dispatcher processes, stand-ins for workers and discovery, service clients, and
+// a separate link between each dispatcher and each worker. All but the dispatchers share one event loop, so
+// that the observations have a single order.
 #ifndef ALDERSILL_TESTS_FLEET_FLEET_RUN_H_
 #define ALDERSILL_TESTS_FLEET_FLEET_RUN_H_
 
@@ -16,21 +16,21 @@
 struct RunResult {
   std::vector<Observation> observations;
   int injected_faults = 0;
-  // Where the dispatchers know one another: with all faults over, all came to know one another, one held the
-  // lease, and each worker was health checked by one.
+  // False if the dispatchers are members of a cluster and did not converge after the faults: each member
+  // knows all others, one holds the lease, and each worker is health checked by one member.
   bool converged = true;
-  int datagrams = 0;
-  int retried_elsewhere = 0;  // requests on idle connections that were closed without an answer
-  int flooding_clients = 0;   // that sent many bytes and left
-  int unexpected_exits =
-      0;  // dispatchers that ended by themselves, or after SIGTERM with a status other than 0
-  double seconds = 0.0;
+  int datagrams = 0;          // forwarded or dropped between dispatchers
+  int retried_elsewhere = 0;  // requests retried because their idle connection was closed unanswered
+  int flooding_clients = 0;   // clients that sent many bytes and left
+  // Dispatchers that exited without a signal, or after SIGTERM with a status other than 0.
+  int unexpected_exits = 0;
+  double seconds = 0.0;  // duration of the run
 };
 
-// Returns once every client has its answer or its end and the attempts of its request have been stopped; a
-// client waits for a minute. Throws std::runtime_error where the rig itself cannot go on. Needs three file
-// descriptors for a link in use and some ten for a dispatcher. `program`: the path of the dispatcher's
-// program.
+// Returns once every client has been answered or disconnected, and the attempts of its request have been
+// stopped. A client waits at most a minute. Throws std::runtime_error if the rig itself cannot continue.
+// Needs three file descriptors for each link in use and about ten for each dispatcher. `program` is the path
+// of the dispatcher's program.
 RunResult RunTimetable(const Timetable& table, const Deployment& deployment, const std::string& program);
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -1,5 +1,5 @@
-// Runs the timetables of seeds, or one from a file, and judges the runs. Prints a timetable that fails,
-// reduced by leaving faults out one after another as long as it still fails.
+// Runs the timetables of a range of seeds, or one from a file, and checks the runs. Prints the first
+// timetable that violates a rule, without the faults that the violation does not need.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -20,7 +20,7 @@
 using namespace aldersill::fleet;
 
 constexpr std::size_t kMaxPrintedViolations = 20, kMaxPrintedHistories = 3;
-constexpr int kRulesHeld = 0, kRuleBroken = 1, kCannotGoOn = 2;  // exit statuses
+constexpr int kSuccess = 0, kFailure = 1, kError = 2;  // exit statuses; kError: the rig cannot continue
 
 struct Options {
   std::uint64_t first = 1;
@@ -41,34 +41,36 @@
 
 void AddOptions(CLI::App* app, Options* options) {
   app->add_option("--first", options->first, "first seed");
-  app->add_option("--count", options->count, "how many seeds")->check(CLI::PositiveNumber);
+  app->add_option("--count", options->count, "number of seeds")->check(CLI::PositiveNumber);
   app->add_option("--dispatchers", options->dispatchers)->check(CLI::Range(1, 100));
   app->add_option("--workers", options->workers)->check(CLI::Range(1, 100));
   app->add_option("--deployment", options->deployment,
-                  "both: odd seeds on the first, even ones on the consortium's")
+                  "both: odd seeds run the first deployment, even seeds the consortium's")
       ->check(CLI::IsMember({"both", "first", "consortium"}));
-  app->add_option("--timetable", options->timetable_file, "run this one instead, in YAML")
+  app->add_option("--timetable", options->timetable_file, "run the timetable of this YAML file instead")
+      ->check(CLI::ExistingFile);
+  app->add_option("--program", options->program, "path of the dispatcher's program")
       ->check(CLI::ExistingFile);
-  app->add_option("--program", options->program, "the dispatcher's program")->check(CLI::ExistingFile);
   app->add_flag("--expect-violation", options->expect_violation,
-                "the program has an injected fault: fail unless a rule is broken within the seeds");
+                "the program has an injected fault: fail unless one of the seeds violates a rule");
   app->add_option("--rule", options->rule,
-                  "with --expect-violation: a rule must be broken whose line contains this");
+                  "with --expect-violation: the line of the violation must contain this text");
   app->add_flag("--soak", options->soak,
-                "soak runs: restarts up to SIGKILL, reloads in series, clients on open connections");
+                "soak runs: restarts up to SIGKILL, series of reloads, clients on open connections");
   app->add_flag("!--whole", options->reduce, "do not reduce a failing timetable");
 }
 
-// Adds the violations that the checker cannot see in the observations.
+// Adds the violations that the observations do not show to the checker.
 void CheckRun(const Timetable& table, Outcome* outcome) {
   std::vector<std::string>& violations = outcome->verdict.violations;
   if (outcome->run.unexpected_exits > 0)
-    violations.emplace_back("a dispatcher ended by itself, or after SIGTERM with a status other than 0");
+    violations.emplace_back(
+        "a dispatcher exited without a signal, or after SIGTERM with a status other than 0");
   if (!outcome->run.converged)
     violations.emplace_back(
-        "with all faults over, the dispatchers did not come to know one another, one to hold the lease, and "
-        "each worker to be health checked by one");
-  // A run in which nothing happened would pass any rule.
+        "after the faults the dispatchers did not converge: each must know all others, one must hold the "
+        "lease, and each worker must be health checked by one");
+  // A run without requests would keep every rule, and so prove nothing.
   if (outcome->verdict.requests < table.requests / 2 || outcome->verdict.served == 0)
     violations.emplace_back("too few requests were sent or served");
 }
@@ -99,7 +101,7 @@
       verdict.violations.empty() ? "" : ": BROKEN");
 }
 
-// All observations of the request that the violation's line ends with.
+// Prints all observations of the request whose id ends the violation's line.
 void PrintHistory(const std::vector<Observation>& observations, const std::string& violation) {
   const std::string request = violation.substr(violation.rfind(' ') + 1);
   for (const Observation& seen : observations) {
@@ -122,6 +124,7 @@
     std::printf("  and %zu more\n", violations.size() - kMaxPrintedViolations);
 }
 
+// Removes faults one by one as long as the timetable still violates a rule.
 Timetable Reduce(Timetable table, const std::string& program) {
   for (std::size_t at = table.faults.size(); at-- > 0;) {
     Timetable fewer = table;
@@ -132,6 +135,7 @@
   return table;
 }
 
+// Returns the timetable of the file that the options name, or else the one drawn from the seed.
 Timetable TimetableOf(std::uint64_t seed, const Options& options) {
   if (!options.timetable_file.empty()) {
     std::ifstream in(options.timetable_file);
@@ -145,7 +149,7 @@
   return DrawTimetable(seed, deployment, options.dispatchers, options.workers);
 }
 
-// Returns the exit status.
+// Runs the timetables up to the first that decides the result. Returns the exit status.
 int Search(const Options& options) {
   const int count = options.timetable_file.empty() ? options.count : 1;
   for (int i = 0; i < count; ++i) {
@@ -156,25 +160,25 @@
     std::fflush(stdout);
     const std::vector<std::string>& violations = outcome.verdict.violations;
     if (options.expect_violation) {
-      const auto is_wanted = [&](const std::string& line) {
+      const auto is_expected = [&](const std::string& line) {
         return line.find(options.rule) != std::string::npos;
       };
-      if (std::ranges::any_of(violations, is_wanted))
-        return kRulesHeld;
+      if (std::ranges::any_of(violations, is_expected))
+        return kSuccess;
     } else if (!violations.empty()) {
       std::cout << "as a timetable, to be run with --timetable:\n"
                 << ToYaml(options.reduce ? Reduce(table, options.program) : table);
-      return kRuleBroken;
+      return kFailure;
     }
   }
-  return options.expect_violation ? kRuleBroken : kRulesHeld;
+  return options.expect_violation ? kFailure : kSuccess;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app(
-      "Runs timetables of faults against real dispatchers and judges what was observed outside of them");
+      "Runs timetables of faults against real dispatchers and checks what was observed outside of them");
   Options options;
   AddOptions(&app, &options);
   CLI11_PARSE(app, argc, argv);
@@ -182,6 +186,6 @@
     return Search(options);
   } catch (const std::exception& error) {
     std::cerr << "fleet_search: " << error.what() << "\n";
-    return kCannotGoOn;
+    return kError;
   }
 }
--- a/tests/fleet/observation.h
+++ b/tests/fleet/observation.h
@@ -1,5 +1,5 @@
-// One thing that the rig saw happen outside the dispatchers: at a client, at a worker, at discovery, on a
-// link or at a process. A run is judged from the list of its observations alone (checker.h).
+// An event that the rig observed outside the dispatchers: at a client, a worker, discovery, a link or a
+// process. The checker judges a run only from the list of its observations (checker.h).
 #ifndef ALDERSILL_TESTS_FLEET_OBSERVATION_H_
 #define ALDERSILL_TESTS_FLEET_OBSERVATION_H_
 
@@ -8,10 +8,11 @@
 
 namespace aldersill::fleet {
 
-// All times are microseconds of the rig's clock, which stands still while the rig itself is not scheduled.
+// All times are in microseconds of the rig's clock, which stops while the rig itself is not scheduled.
 struct Observation {
   enum class Kind {
-    kRequestSent,           // a client sent a complete request to `dispatcher` and waits until `deadline`
+    kRequestSent,           // a client sent a complete request to `dispatcher` and waits for the answer until
+                            // `deadline`
     kClosedUnanswered,      // `dispatcher` closed an idle client connection without answering the request on
                             // it; the client retries at another dispatcher if there is one
     kAnswered,              // the client received its answer: `status`, `text`
@@ -21,17 +22,17 @@
     kAttemptEnded,          // the dispatcher closed the attempt's connection or received the complete answer
     kJobStarted,            // `worker` received the complete attempt and started the job
     kJobResult,             // the worker finished the job with the result `text`
-    kDispatcherKilled,      // by SIGKILL: requests in flight at `dispatcher` may stay unanswered
+    kDispatcherKilled,      // SIGKILL was sent to `dispatcher`; its requests in flight may remain unanswered
     kDispatcherStarted,     // a new process of `dispatcher` serves
-    kDispatcherResumed,     // `dispatcher` was stopped until now
-    kDispatcherTerminated,  // SIGTERM is sent to `dispatcher`
-    kDispatcherReloaded,    // SIGHUP is sent to `dispatcher`, with another address of discovery
-    kWorkerChanged,         // discovery was told whether `worker` is `available`
-    kWorkerAnnounced,       // discovery wrote to `dispatcher` whether `worker` is `available`
-    kDiscoveryReachable,    // whether discovery is `available` to `dispatcher` from now on
-    kRestartFinished,       // a restarted dispatcher became ready after `startup_time`, 0 if it never did
-    kLeaseReported,  // in answer to a question asked at `asked_at`, `dispatcher` reported that it holds
-                     // the lease under `term`
+    kDispatcherResumed,     // `dispatcher` continues after it was stopped
+    kDispatcherTerminated,  // SIGTERM was sent to `dispatcher`
+    kDispatcherReloaded,    // SIGHUP was sent to `dispatcher`, with a new address of discovery
+    kWorkerChanged,         // discovery learned whether `worker` is `available`
+    kWorkerAnnounced,       // discovery announced to `dispatcher` whether `worker` is `available`
+    kDiscoveryReachable,    // `available` tells whether `dispatcher` can reach discovery from now on
+    kRestartFinished,       // a restarted dispatcher became ready after `startup_time`; 0 if it never did
+    kLeaseReported,         // in answer to a query sent at `asked_at`, `dispatcher` reported that it holds
+                            // the lease under `term`
     kRunEnded,
   };
   Kind kind = Kind::kRequestSent;
@@ -43,7 +44,7 @@
   std::uint64_t term = 0;
   int status = 0;
   bool available = false;
-  int discovery_address = 0;  // the number of discovery's address for `dispatcher`, from 0
+  int discovery_address = 0;  // number of the address at which `dispatcher` calls discovery, from 0
   std::string text{};
   std::int64_t at = 0;
   std::int64_t deadline = 0;
@@ -51,7 +52,7 @@
   std::int64_t asked_at = 0;
 };
 
-// For reports.
+// Returns the name of the kind that reports show.
 const char* Name(Observation::Kind kind);
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/recorder.cpp
+++ b/tests/fleet/recorder.cpp
@@ -7,7 +7,7 @@
 namespace aldersill::fleet {
 namespace {
 
-// A tick that is later than this shows that the rig itself stalled.
+// If a tick is later than this, the rig itself was stalled.
 constexpr Micros kTickTolerance = 20 * kMillisecond;
 
 }  // namespace
--- a/tests/fleet/recorder.h
+++ b/tests/fleet/recorder.h
@@ -9,27 +9,30 @@
 
 namespace aldersill::fleet {
 
-// A clock in microseconds that stands still while the rig itself is not scheduled: what a stalled rig sees
-// late must not look late. It detects stalls from a periodic tick of the event loop.
+// A clock in microseconds that stops while the rig itself is not scheduled, so that events that a stalled rig
+// observes late do not appear late. It detects stalls by a periodic tick of the event loop.
 class RigClock {
  public:
   Micros Now() const;
-  // A time of the steady clock in this clock's time, with the stalls up to now.
+  // Converts a time of the steady clock to this clock, subtracting all stalls so far.
   Micros FromSteady(Micros steady) const { return steady - stalled_; }
-  // Call at each tick: adds the time by which it is late.
+  // Must be called at each tick. Adds the time by which the tick is late to the stalls.
   void AccountForStall();
+  // Must be called when the next tick is scheduled.
   void ExpectTickIn(Micros delay) { next_tick_ = SteadyNow() + delay; }
 
  private:
+  // Returns how far the expected tick is overdue at a time of the steady clock, beyond the tolerance.
   Micros LatenessAt(Micros steady) const;
 
-  Micros next_tick_ = SteadyNow();
-  Micros stalled_ = 0;
+  Micros next_tick_ = SteadyNow();  // on the steady clock
+  Micros stalled_ = 0;              // total time of all stalls
 };
 
+// Collects the observations of one run, in the order in which they are recorded.
 class Recorder {
  public:
-  // Sets the observation's time: now, or `at`.
+  // Adds the observation. Its time is set to the current time, or to `at`.
   void Record(Observation observation) { RecordAt(clock_.Now(), std::move(observation)); }
   void RecordAt(Micros at, Observation observation);
 
--- a/tests/fleet/run_context.h
+++ b/tests/fleet/run_context.h
@@ -1,4 +1,4 @@
-// What all parts of one run share. FleetRun owns what it points to and outlives the parts.
+// The objects that all parts of one run share. FleetRun owns them and destroys the parts first.
 #ifndef ALDERSILL_TESTS_FLEET_RUN_CONTEXT_H_
 #define ALDERSILL_TESTS_FLEET_RUN_CONTEXT_H_
 
--- a/tests/fleet/scheduler.h
+++ b/tests/fleet/scheduler.h
@@ -1,4 +1,4 @@
-// Runs functions later on the rig's event loop.
+// Schedules functions on the rig's event loop.
 #ifndef ALDERSILL_TESTS_FLEET_SCHEDULER_H_
 #define ALDERSILL_TESTS_FLEET_SCHEDULER_H_
 
@@ -15,13 +15,14 @@
  public:
   explicit Scheduler(event_base* base) : base_(base) {}
 
+  // Runs `action` after `ms` milliseconds.
   void RunIn(int ms, std::function<void()> action);
-  // After that many turns of the loop: in each, all sockets that are ready are served.
+  // Runs `action` after `turns` iterations of the event loop. Each of them serves all ready sockets.
   void RunAfterTurns(int turns, std::function<void()> action);
 
  private:
   event_base* base_;
-  std::vector<std::unique_ptr<Timer>> timers_;
+  std::vector<std::unique_ptr<Timer>> timers_;  // kept until the run ends
 };
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/slow_start_rule.cpp
+++ b/tests/fleet/slow_start_rule.cpp
@@ -25,7 +25,7 @@
 double SlowStartRule::AllowedCalls(std::int64_t since_start) const {
   const double progress = static_cast<double>(since_start) / static_cast<double>(rules_.slow_start_duration);
   const double share = rules_.slow_start_share + (1.0 - rules_.slow_start_share) * progress;
-  // The slack lengthens the window.
+  // The length of the window, extended by the slack, as a multiple of the configured length.
   const double window =
       1.0 + static_cast<double>(rules_.slack) / static_cast<double>(rules_.slow_start_window);
   const double mean = rules_.warm_calls * share * window;
--- a/tests/fleet/slow_start_rule.h
+++ b/tests/fleet/slow_start_rule.h
@@ -1,5 +1,5 @@
-// Rule: a worker that has just started receives no more calls from all dispatchers together, in a window,
-// than its slow-start share of what a warm worker bears, and what chance adds to that.
+// Rule: the calls that a worker in slow start receives from all dispatchers together in a window do not
+// exceed its slow-start share of a warm worker's calls, plus a margin for random variation.
 #ifndef ALDERSILL_TESTS_FLEET_SLOW_START_RULE_H_
 #define ALDERSILL_TESTS_FLEET_SLOW_START_RULE_H_
 
@@ -17,17 +17,18 @@
   explicit SlowStartRule(const Rules& rules) : rules_(rules) {}
 
   void WorkerChanged(const Observation& change);
-  // Counts an attempt. Returns the calls in the window that ends with it, as a share of what is allowed:
-  // above 1.0 the rule is broken. 0.0 for a worker that is not in slow start.
+  // Counts an attempt. Returns the number of calls in the window that ends with it, divided by the allowed
+  // number: above 1.0 the rule is violated. Returns 0.0 if the worker is not in slow start.
   double AddAttempt(const Observation& attempt);
 
  private:
-  // The mean number of calls N that is allowed plus two standard deviations, and 2 for small N.
+  // Returns the allowed number of calls `since_start` microseconds after the worker's start: the expected
+  // number N, plus two standard deviations (of sqrt(N) each), plus 2 because N may be small.
   double AllowedCalls(std::int64_t since_start) const;
 
   const Rules& rules_;
   std::map<int, std::optional<std::int64_t>> started_at_;  // by worker
-  std::map<int, std::deque<std::int64_t>> calls_;          // their times within the window, by worker
+  std::map<int, std::deque<std::int64_t>> calls_;          // times of the calls in the window, by worker
 };
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/soak_timetable.cpp
+++ b/tests/fleet/soak_timetable.cpp
@@ -12,18 +12,19 @@
 constexpr int kDispatchers = 8, kWorkers = 6;
 constexpr int kLengthMs = 16'000;
 constexpr int kKeepAliveClients = 32;
-constexpr int kCrowdPerDispatcher = 60;
-constexpr int kPreviousAddressMs = 1'500;  // for which calls at the previous address stay open
+constexpr int kIdleClientsPerDispatcher = 60;
+constexpr int kPreviousAddressMs = 1'500;  // time for which calls at the previous address stay open
 constexpr int kSlowRequests = 24, kSlowRequestsBeforeMs = 1'000;
-constexpr int kNewConnectionsMs = 300;  // after SIGTERM
+constexpr int kNewConnectionsMs = 300;  // time after SIGTERM in which new connections begin
 constexpr int kHangAfterMs = 500, kHangThroughShutdownMs = 3'500;
-constexpr int kLastMoveMs = 9'000;  // so that its bounds end within the run
+constexpr int kLastMoveMs = 9'000;  // early enough that its time limits end within the run
 constexpr std::array<int, 5> kFleetSizes = {3, 100, 178, 198, 300};
-// What becomes of a dispatcher's calls at its new address.
+// How a dispatcher's calls at the new address of discovery fail.
 constexpr std::array<FaultKind, 4> kNewAddressFaults = {
     FaultKind::kIgnoredDiscoveryCalls, FaultKind::kDiscoveryErrors, FaultKind::kDiscoveryLosses,
     FaultKind::kDiscoveryRefused};
 
+// Draws one timetable. The order of the draws determines it, so it must not change.
 class SoakBuilder {
  public:
   SoakBuilder(std::uint64_t seed, const std::string& deployment) : random_(seed, kRandomStream) {
@@ -44,7 +45,7 @@
     AddRestarts();
     AddHangs();
     if (table_.seed % 3 == 0)
-      AddCrowd();
+      AddIdleClients();
     if (table_.seed % 4 == 0)
       AddOutage();
     std::ranges::stable_sort(table_.faults, {}, &Fault::at_ms);
@@ -55,7 +56,8 @@
   int Between(int from, int to) { return from + static_cast<int>(random_(to - from + 1)); }
   void Add(Fault fault) { table_.faults.push_back(fault); }
 
-  // One to three reloads in a row, some of them without a move, the last ones at an address that fails.
+  // One to three reloads in series. The last one always moves discovery, the others often do. In two of three
+  // cases the calls at the last address fail.
   void AddMoves(int dispatcher) {
     int at_ms = Between(1'500, kLastMoveMs - 3'000);
     for (int left = Between(1, 3); left > 0; --left) {
@@ -77,7 +79,7 @@
     first_move_ms_ = std::min(first_move_ms_, at_ms);
   }
 
-  // Half of the workers, while discovery moves; they stay away.
+  // Drains half of the workers while discovery moves. They do not return within the run.
   void AddDrains() {
     for (int worker = 0; worker < kWorkers / 2; ++worker)
       Add({.at_ms = Between(first_move_ms_, kLastMoveMs),
@@ -86,8 +88,9 @@
            .for_ms = 2 * kLengthMs});
   }
 
-  // One dispatcher after another, as far as the time goes. Around each SIGTERM clients begin requests that
-  // they complete during the shutdown, and in half of the shutdowns a worker hangs to the end.
+  // Restarts one dispatcher after another until the run is nearly over. Around each SIGTERM clients begin
+  // requests that they complete during the shutdown. In half of the shutdowns a worker hangs until the
+  // shutdown ends.
   void AddRestarts() {
     int dispatcher = Between(0, kDispatchers - 1);
     for (int at_ms = Between(1'200, 3'000); at_ms < kLengthMs - 4'500; at_ms += Between(700, 2'000)) {
@@ -115,7 +118,7 @@
            .for_ms = Between(500, 4'000)});
   }
 
-  void AddCrowd() {
+  void AddIdleClients() {
     table_.variant = SettingsVariant::kFewSockets;
     for (int dispatcher = 0; dispatcher < kDispatchers; ++dispatcher)
       Add({.at_ms = 1'000,
@@ -123,7 +126,7 @@
            .dispatcher = dispatcher,
            .worker = kAllWorkers,
            .for_ms = kLengthMs - 4'000,
-           .amount = kCrowdPerDispatcher});
+           .amount = kIdleClientsPerDispatcher});
   }
 
   void AddOutage() {
--- a/tests/fleet/soak_timetable.h
+++ b/tests/fleet/soak_timetable.h
@@ -1,6 +1,6 @@
-// Timetables in which what goes by the endpoint list's lease, a deadline or a signal meets at once: rolling
-// restarts up to the earliest SIGKILL, reloads in series that move discovery, drains that only the new
-// address knows, and new addresses that fail. Drawn from a seed. Pure.
+// Timetables in which many events with time limits (the endpoint list's lease, deadlines and signals)
+// coincide: rolling restarts with the earliest possible SIGKILL, series of reloads that move discovery,
+// drains that only the new address announces, and new addresses that fail. No input or output.
 #ifndef ALDERSILL_TESTS_FLEET_SOAK_TIMETABLE_H_
 #define ALDERSILL_TESTS_FLEET_SOAK_TIMETABLE_H_
 
@@ -11,7 +11,8 @@
 
 namespace aldersill::fleet {
 
-// One seed in three has a crowd of idle clients, one in four an outage of discovery.
+// Draws a timetable. The same arguments give the same timetable on every machine. One seed in three has many
+// idle clients, one in four an outage of discovery.
 Timetable DrawSoakTimetable(std::uint64_t seed, const std::string& deployment);
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/timetable.cpp
+++ b/tests/fleet/timetable.cpp
@@ -8,16 +8,17 @@
 namespace aldersill::fleet {
 namespace {
 
-// The jobs have streams of their own: a fault more or less does not change them.
+// The jobs are drawn from other random streams, so that adding or removing a fault does not change them.
 constexpr std::uint64_t kRandomStream = 1;
 constexpr int kIgnoredCallsLengthMs = 9'000;
 constexpr int kDiscoveryFailuresLengthMs = 10'000;
 constexpr int kRestartsLengthMs = 12'500;
 constexpr int kSlowStartLengthMs = 5'000;
-// Connections come up late for this time; clients leave before the first of them can come up.
+// Period in which connections are established late, and the time after its start at which clients leave,
+// before the first of these connections can be established.
 constexpr int kDelayedConnectsMs = 600, kLeaveAfterMs = 350;
 
-// A seed's random numbers. The order of the draws decides on the timetable: it must not change.
+// The random numbers of a seed. The order of the draws determines the timetable, so it must not change.
 class Draws {
  public:
   explicit Draws(std::uint64_t seed) : random_(seed, kRandomStream) {}
@@ -30,6 +31,7 @@
   pcg32 random_;
 };
 
+// Both ends are included.
 struct Range {
   int from = 0, to = 0;
 };
@@ -54,7 +56,7 @@
     AddAnyFaults();
     if (table_.members)
       AddMemberFaults();
-    // Drawn last, so that the other faults are the same as without.
+    // These are drawn last, so that they do not change the other faults.
     AddFaultsOfLastDigit();
     std::ranges::stable_sort(table_.faults, {}, &Fault::at_ms);
     return std::move(table_);
@@ -101,7 +103,7 @@
           of_all_peers ? -1 : (fault.dispatcher + draws_.Between(1, table_.dispatchers)) % table_.dispatchers;
       fault.amount = draws_.Between(10, 90);
     }
-    // Pauses the lease holder, or else a voter, for longer than a lease lasts.
+    // Pauses the lease holder, or a voter if no member holds the lease, for longer than a lease lasts.
     Fault& pause = AddDrawnFault(FaultKind::kPause, {1'200, 1'800}, {kLongerThanLease, kLongerThanLease});
     pause.dispatcher %= kVoters;
   }
@@ -115,7 +117,7 @@
         return AddLeavingClients(dispatcher);
       case 2:
       case 8:
-        return AddShutdownsUnderRequests(dispatcher, worker);
+        return AddShutdownsUnderLoad(dispatcher, worker);
       case 5:
         // Calls to the consortium's local agents do not fail.
         if (table_.deployment != "consortium")
@@ -132,13 +134,13 @@
     }
   }
 
-  // Numbers of dispatchers may exceed the number there are: they count around.
+  // Adds the fault. Dispatcher numbers beyond the last one wrap around.
   void Add(Fault fault) {
     fault.dispatcher %= table_.dispatchers;
     table_.faults.push_back(fault);
   }
 
-  // Clients leave while the connections of their attempts come up late.
+  // Clients leave while the connections of their attempts are established late.
   void AddLeavingClients(int first) {
     table_.variant = SettingsVariant::kLongDialTimeout;
     table_.requests = 400;
@@ -157,8 +159,8 @@
     }
   }
 
-  // Dispatchers get SIGTERM while workers hang, one of them while requests arrive on idle connections.
-  void AddShutdownsUnderRequests(int first, int worker) {
+  // Dispatchers receive SIGTERM while workers hang, one of them while requests arrive on idle connections.
+  void AddShutdownsUnderLoad(int first, int worker) {
     const int at_ms = draws_.Between(800, 1'500);
     for (int index = 0; index < 2; ++index)
       Add({.at_ms = at_ms - 100,
@@ -192,7 +194,7 @@
       DrawDiscoveryFailureTimes(&fault);
       Add(fault);
     }
-    AddDrainsOfOthers(worker, drains_at_ms);
+    AddDrainsOfUndrainedWorkers(worker, drains_at_ms);
   }
 
   void DrawDiscoveryFailureTimes(Fault* fault) {
@@ -201,8 +203,8 @@
     fault->at_ms = draws_.Between(300, 600);
   }
 
-  // Of two workers, from `first` on, that no other fault drains.
-  void AddDrainsOfOthers(int first, int at_ms) {
+  // Drains two workers that no other fault drains, searching from `first` on.
+  void AddDrainsOfUndrainedWorkers(int first, int at_ms) {
     int left = 2;
     for (int worker = first; worker < first + table_.workers && left > 0; ++worker) {
       if (IsDrained(worker % table_.workers))
@@ -221,7 +223,7 @@
     });
   }
 
-  // Idle clients take sockets at six dispatchers while discovery is down.
+  // Idle clients occupy sockets of six dispatchers while discovery is down.
   void AddIdleClients(int first) {
     table_.variant = SettingsVariant::kFewSockets;
     const int at_ms = draws_.Between(300, 800);
@@ -235,7 +237,7 @@
            .amount = 60});
   }
 
-  // A worker starts again under load.
+  // A worker restarts under load.
   void AddSlowStart(int worker) {
     table_.variant = SettingsVariant::kLongSlowStart;
     table_.length_ms = kSlowStartLengthMs;
--- a/tests/fleet/timetable_test.cpp
+++ b/tests/fleet/timetable_test.cpp
@@ -1,4 +1,5 @@
-// Timetables are the same from the same seed and through YAML, and bad ones are refused.
+// Tests that a seed always gives the same timetable, that YAML preserves timetables, and that invalid ones
+// are rejected.
 #include "fleet/timetable.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +13,7 @@
 namespace {
 
 TEST_CASE(
-    "a timetable is the same from the same seed and through YAML; a bad one is refused by line and field") {
+    "a seed always gives the same timetable, YAML preserves it, and errors name the line and the field") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     const std::string text = ToYaml(DrawTimetable(seed, "first", 12, 6));
     CHECK(text == ToYaml(DrawTimetable(seed, "first", 12, 6)));
@@ -25,7 +26,7 @@
     CHECK(text == ToYaml(FromYaml(text)));
   }
   const std::string head = "seed: 1\ndispatchers: 3\nworkers: 2\nrequests: 10\nlength_ms: 100\nfaults:\n";
-  const auto refusal = [&](const std::string& fault) -> std::string {
+  const auto error_of = [&](const std::string& fault) -> std::string {
     try {
       FromYaml(head + "  - " + fault + "\n");
     } catch (const std::runtime_error& error) {
@@ -33,14 +34,14 @@
     }
     return "";
   };
-  CHECK(refusal("{at_ms: 5, kind: kill, dispatcher: 2, worker: 0, for_ms: 5, amount: 0}") == "");
+  CHECK(error_of("{at_ms: 5, kind: kill, dispatcher: 2, worker: 0, for_ms: 5, amount: 0}") == "");
   CHECK_THROWS_WITH(FromYaml("crossing: near\n" + head), "crossing 'near' is unknown");
-  CHECK(refusal("{at_ms: 5, kind: bite, dispatcher: 2}") == "line 7: kind 'bite' is unknown");
-  CHECK(refusal("{at_ms: 5, kind: kill, dispatcher: 3, worker: 0}") ==
+  CHECK(error_of("{at_ms: 5, kind: bite, dispatcher: 2}") == "line 7: kind 'bite' is unknown");
+  CHECK(error_of("{at_ms: 5, kind: kill, dispatcher: 3, worker: 0}") ==
         "line 7: dispatcher must be a whole number from 0 to 2");
-  CHECK(refusal("{at_ms: 5, kind: drain, dispatcher: 1, worker: -1}") ==
+  CHECK(error_of("{at_ms: 5, kind: drain, dispatcher: 1, worker: -1}") ==
         "line 7: worker must be a whole number from 0 to 1");
-  CHECK(refusal("{at_ms: 5, kind: kill, dispatcher: 1}") == "line 7: worker is missing");
+  CHECK(error_of("{at_ms: 5, kind: kill, dispatcher: 1}") == "line 7: worker is missing");
 }
 
 }  // namespace
--- a/tests/fleet/timetable_yaml.cpp
+++ b/tests/fleet/timetable_yaml.cpp
@@ -1,4 +1,4 @@
-// Timetables as YAML. Keys and words are documented in docs/fleet-rig.md.
+// Writes and reads timetables as YAML. docs/fleet-rig.md documents the keys and words.
 #include <yaml-cpp/yaml.h>
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 namespace aldersill::fleet {
 namespace {
 
-constexpr int kMaxCount = 100;  // of dispatchers, of workers
+constexpr int kMaxCount = 100;  // dispatchers or workers
 constexpr int kMaxFleetSize = 1'000;
 constexpr int kMaxKeepAliveClients = 1'000;
 constexpr int kMaxRequests = 100'000;
 constexpr int kMaxLengthMs = 3'600'000;
-constexpr int kMaxFaultNumber = 60'000;  // of for_ms, of amount
+constexpr int kMaxFaultNumber = 60'000;  // for_ms or amount
 
 // In the order of FaultKind.
 constexpr std::array<const char*, 29> kKindWords = {"kill",
@@ -54,15 +54,16 @@
 
 std::string LineOf(const YAML::Node& node) { return "line " + std::to_string(node.Mark().line + 1) + ": "; }
 
-int ReadNumber(const YAML::Node& node, const char* field, int least, int most) {
+// Reads a required number. Throws if it is missing, not a whole number, or not from `min` to `max`.
+int ReadNumber(const YAML::Node& node, const char* field, int min, int max) {
   const YAML::Node value = node[field];
   const std::string name = LineOf(node) + field;
   if (!value)
     throw std::runtime_error(name + " is missing");
   int number = 0;
-  if (!YAML::convert<int>::decode(value, number) || number < least || number > most)
-    throw std::runtime_error(name + " must be a whole number from " + std::to_string(least) + " to " +
-                             std::to_string(most));
+  if (!YAML::convert<int>::decode(value, number) || number < min || number > max)
+    throw std::runtime_error(name + " must be a whole number from " + std::to_string(min) + " to " +
+                             std::to_string(max));
   return number;
 }
 
--- a/tests/models/check.sh
+++ b/tests/models/check.sh
@@ -1,13 +1,14 @@
 #!/bin/bash
-# Checks a model, the lease's or another (MODEL=budgets): as it is it must hold, and each broken variant must be found
-# out. check.sh [more options for spin, such as -DBALLOTS=4]
+# Verifies a model with spin, lease.pml or the one that MODEL names (MODEL=budgets): the model must hold, and spin must
+# find an error in each of its broken variants. Usage: check.sh [more options for spin, such as -DBALLOTS=4]
 set -euo pipefail
 model=$(cd "$(dirname "$0")" && pwd)/${MODEL:-lease}.pml
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 cd "$work"
 
-# Prints what spin found in the variant: the number of errors, and states.
+# Runs spin with the given options and prints the number of errors and of stored states. An incomplete search counts as
+# one error.
 verify() {
   rm -f pan*
   spin "$@" -a "$model" >spin.log 2>&1 || { cat spin.log >&2; exit 2; }
@@ -23,5 +24,5 @@
 for broken in $(sed -n 's/^#\(ifdef\|ifndef\) \(BROKEN_[A-Z]*\)$/\2/p' "$model" | sort -u); do
   found=$(verify "$@" -D$broken)
   echo "$broken: $found"
-  [[ $found != "0 errors,"* ]] || { echo "spin did not find out $broken"; exit 1; }
+  [[ $found != "0 errors,"* ]] || { echo "spin found no error in the variant $broken"; exit 1; }
 done
--- a/tests/models/lease.pml
+++ b/tests/models/lease.pml
@@ -1,15 +1,19 @@
-/* The lease of src/duties/lease.cpp, for spin: can two hold at once, can it come to a state from which nobody
- * will ever hold again?
+/* A spin model of the lease in src/duties/lease.cpp. It checks that two members never hold the lease at the same time,
+ * and that no state is reachable from which no member can ever acquire the lease again.
  *
- * Two who ask, three who vote. Time is ticks that all count down by; what the code guards against by its margin
- * for drifting clocks is here that a holder counts one tick less than a voter. Messages are facts that stay:
- * each may be read late, twice or never, which covers delay, doubling, reordering and loss. A voter and one of those
- * who ask restart and forget. The troubled time ends at any moment, with what was sent then lost; from there one of
- * them asks with nothing in its way, and must hold within 2 T + 3 ticks.
+ * Two askers (members that request the lease) and three voters (lease acceptors) take part. Time passes in ticks, by
+ * which all timers count down. The code's margin for clock drift is modelled by a holder that counts the lease one tick
+ * shorter than a voter does. Messages are facts that persist: each may be read late, twice or never, which covers
+ * delay, duplication, reordering and loss. Voters may restart up to RESTARTS times in all and one asker once; they lose
+ * their state. The faults end at an arbitrary moment, and all messages sent until then are lost. From then on one asker
+ * requests the lease without interference, and must hold it within 2 T + 3 ticks.
  *
- * Each of BROKEN_SILENCE (a restarted voter votes at once), BROKEN_MARGIN (a holder counts longer than a voter),
- * BROKEN_PROMISE (a voter forgets what it promised) and BROKEN_ROUNDS (a round takes answers for ever: a promise of
- * a voter that has forgotten it) must be found out by spin; tests/models/check.sh sees to it. */
+ * Spin must find an error in each of these variants, which tests/models/check.sh verifies:
+ * - BROKEN_SILENCE: a restarted voter votes at once;
+ * - BROKEN_MARGIN: a holder counts the lease longer than a voter does;
+ * - BROKEN_PROMISE: a voter forgets its promise;
+ * - BROKEN_ROUNDS: a round accepts answers without a time limit, including the promise of a voter that has since
+ *   restarted and forgotten it. */
 
 #ifndef T
 #define T 2
@@ -26,7 +30,7 @@
 #else
 #define HELD (T - 1)
 #endif
-#define OPEN 1  /* ticks for which a round takes answers */
+#define OPEN 1  /* ticks during which a round accepts answers */
 #ifdef BROKEN_SILENCE
 #define SILENT 0
 #else
@@ -40,9 +44,9 @@
 /* Voters. */
 byte promised[3], accepted[3], left[3], silent[3];
 byte restarts;
-/* Those who ask. */
+/* Askers. */
 byte phase[2], ballot[2], open[2], pending[2], held[2], life[2];
-/* Ballots and what was sent under each. */
+/* Ballots and the messages that were sent under each. */
 byte next = 1;
 byte owner[BALLOTS + 2];
 bool prepare[BALLOTS + 2], propose[BALLOTS + 2];
@@ -51,7 +55,7 @@
 
 #define DOWN(x) if :: x > 0 -> x-- :: else fi
 
-/* What has ended is forgotten, so that states which differ in nothing else are one. */
+/* Clears an accepted ballot once its lease has ended, so that states that differ only in it are merged. */
 #define ENDS(v) if :: left[v] > 1 -> left[v]-- :: else -> left[v] = 0; accepted[v] = 0 fi
 
 inline tick() {
@@ -64,7 +68,8 @@
   DOWN(held[0]); DOWN(held[1])
 }
 
-/* Whose ballot it is, and whether that one still waits for answers to it: others change nothing. */
+/* The asker that owns a ballot, and whether it still waits for answers in the given phase. Other answers would have no
+ * effect, so they are not modelled. */
 #define ASKER(b) ((owner[b] - 1) & 1)
 #define WAITS(b, in) (ballot[ASKER(b)] == (b) && phase[ASKER(b)] == (in))
 
@@ -72,7 +77,7 @@
   free_said[AT(ballot[me], 0)] = false; free_said[AT(ballot[me], 1)] = false; free_said[AT(ballot[me], 2)] = false;
   accept_said[AT(ballot[me], 0)] = false; accept_said[AT(ballot[me], 1)] = false;
   accept_said[AT(ballot[me], 2)] = false;
-  prepare[ballot[me]] = false;  /* read later still it could only make a voter refuse more */
+  prepare[ballot[me]] = false;  /* a voter that read it later could only refuse more */
   phase[me] = 0; ballot[me] = 0; open[me] = 0; pending[me] = 0
 }
 
@@ -126,7 +131,7 @@
   od
 }
 
-/* The troubles end: one asks, and is heard. */
+/* The faults end: asker 0 requests the lease, and every message arrives. */
 proctype Calm() {
   byte ticks, v, yes;
   atomic {
@@ -145,7 +150,7 @@
           break
        :: else
        fi
-    :: else -> assert(false)  /* it can never be had again */
+    :: else -> assert(false)  /* no member can acquire the lease again */
     od
   }
 }
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Builds and runs all tests twice: as released, and under the address and undefined-behaviour sanitizers.
-# Compilers are run through ccache where it is installed.
+# Builds and runs all tests twice: in release mode, and with the address and undefined-behaviour sanitizers.
+# Uses ccache if it is installed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 launcher=()
--- a/tests/support/doctest_main.cpp
+++ b/tests/support/doctest_main.cpp
@@ -1,3 +1,3 @@
-// The main function of every test program on doctest, compiled once for all of them.
+// The main function of all doctest programs, compiled once.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
--- a/tests/support/recorded_digests.h
+++ b/tests/support/recorded_digests.h
@@ -1,6 +1,5 @@
-// Whole runs reduced to one 64-bit digest for each seed, compared with a recorded list. A change that is
-// meant to keep the behaviour of a pure core must keep every digest; one that changes it on purpose records
-// anew.
+// Reduces each seed's run to one 64-bit digest and compares it with a recorded list. A change that must not
+// alter the behaviour of a core must keep every digest; one that alters it on purpose records a new list.
 #ifndef ALDERSILL_TESTS_SUPPORT_RECORDED_DIGESTS_H_
 #define ALDERSILL_TESTS_SUPPORT_RECORDED_DIGESTS_H_
 
@@ -15,7 +14,7 @@
 
 namespace aldersill::tests {
 
-// FNV-1a over all that is added, in order; texts are added with their length.
+// The FNV-1a hash of all added values, in order. Each text is preceded by its length.
 class RunDigest {
  public:
   template <std::integral T>
@@ -36,17 +35,18 @@
   std::uint64_t hash_ = 0xcbf29ce484222325ULL;
 };
 
-// The file holds one line a seed, from 1 on: the seed and the digest in hexadecimal. The exit status is 1 if
-// any of the first --count seeds differs from its line, or has none.
+// Parses the command line and compares the digests of seeds 1 to --count with those in the file, which has
+// one line for each seed: the seed and its digest in hexadecimal. Returns the exit status: 1 if any seed
+// differs from its line or has no line, otherwise 0. With --record it writes the file instead.
 inline int CompareWithRecorded(int argc, char** argv,
                                const std::function<std::uint64_t(std::uint64_t seed)>& digest_of) {
-  CLI::App app("Compares the digests of whole runs with recorded ones.");
+  CLI::App app("Compares the digests of whole runs with recorded digests.");
   std::string path;
   std::uint64_t count = 100;
   bool record = false;
-  app.add_option("--recorded", path, "The recorded digests")->required();
-  app.add_option("--count", count, "How many seeds");
-  app.add_flag("--record", record, "Writes the file in place of comparing");
+  app.add_option("--recorded", path, "File of the recorded digests")->required();
+  app.add_option("--count", count, "Number of seeds");
+  app.add_flag("--record", record, "Write the file instead of comparing with it");
   CLI11_PARSE(app, argc, argv);
   std::ofstream out;
   std::ifstream recorded;
