--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -13,24 +13,28 @@
 namespace {
 
 constexpr Micros kIdleTimeout = 120 * kSecond;
-// From the accept, or from the first byte of a later request, to its last one: a peer that sends half a
-// request must not keep a descriptor.
+// Limit from the accept, or from the first byte of a later request, to the request's last byte: a peer that
+// sends half a request must not keep a descriptor.
 constexpr Micros kRequestTimeout = 2'400 * kMillisecond;
-// A peer that does not read its response is disconnected.
+// A peer that reads nothing of its response for this long is disconnected.
 constexpr timeval kWriteTimeout = {10, 0};
-// An error response may be written while the peer still sends. To close at once would reset the connection
-// and lose it, so for this long the input is read and dropped.
+// An error response may be written while the peer still sends. Closing at once would reset the connection and
+// lose the response, so the input is read and dropped for this long.
 constexpr Micros kLingerTimeout = 3 * kSecond;
-// A connection that is closed between requests has read all of its responses; a request that crosses the
-// close is sent again by the client.
+// Shorter than kLingerTimeout: no response is at risk, as the client of a connection that is closed between
+// requests has its responses, and a client sends a request that crosses the close again.
 constexpr Micros kIdleLingerTimeout = 1 * kSecond;
-// The first request of a new connection is on its way; one that arrives in pieces may take a little longer.
+// A new connection is not evicted for this long, as its first request is probably on the way.
 constexpr Micros kNewConnectionGrace = 60 * kMillisecond;
+// A connection counts as stalled if its request has arrived in part and is not complete after this time.
 constexpr Micros kPartialRequestGrace = 500 * kMillisecond;
+// A connection counts as stalled if the peer has not read its response after this time.
 constexpr Micros kUnreadResponseGrace = kSecond;
-// In a drain: a new connection's request is awaited for this long.
+// A drain waits this long for the first request of a new connection.
 constexpr Micros kNewConnectionDrainGrace = 600 * kMillisecond;
+// Delay of a timeout that expires while bytes wait to be read.
 constexpr Micros kUnreadBytesRetry = 20 * kMillisecond;
+// Retry-After of a request that is rejected because the memory for incomplete requests is used up.
 constexpr Micros kOverloadRetryAfter = 500 * kMillisecond;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -52,7 +56,7 @@
       return "connection_error";
     case CloseReason::kWriteTimeout:
       return "write_timeout";
-    case CloseReason::kLingerOver:
+    case CloseReason::kLingerEnded:
       return "linger_over";
     case CloseReason::kDiscardFailed:
       return "reset_or_too_many_bytes";
@@ -84,11 +88,12 @@
 ClientConnection::~ClientConnection() {
   discarder_.Stop();
   const evutil_socket_t fd = bufferevent_getfd(stream_.get());
-  // A callback that is still due keeps the stream alive: its events must not stay on a descriptor that the
-  // next connection gets.
+  // A deferred callback keeps the stream alive after the reset below. Its events must not stay registered on
+  // a descriptor that the next connection may get.
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
   stream_.reset();
-  // libevent's own close waits for the loop's next turn, and a burst of connections would exceed the limit.
+  // libevent would close the descriptor only in the loop's next iteration, and a burst of connections could
+  // then exceed the descriptor limit.
   evutil_closesocket(fd);
 }
 
@@ -97,26 +102,27 @@
 EvictionPriority ClientConnection::PriorityForEviction(Micros now, EvictionPriority lowest) const {
   using Class = EvictionPriority::Class;
   if (state_ == State::kLingering)
-    return {.eviction_class = Class::kLingering, .since = since_};
-  const bool response_unread = state_ == State::kWriting && now - since_ > kUnreadResponseGrace;
+    return {.eviction_class = Class::kLingering, .since = last_progress_at_};
+  const bool response_unread = state_ == State::kWriting && now - last_progress_at_ > kUnreadResponseGrace;
   const bool request_stalled =
       state_ == State::kReading && reader_.started() && now - request_started_at_ > kPartialRequestGrace;
   if (response_unread || request_stalled)
-    return {.eviction_class = Class::kStalled, .since = since_};
-  if (state_ != State::kReading || reader_.started() || now - since_ < kNewConnectionGrace)
+    return {.eviction_class = Class::kStalled, .since = last_progress_at_};
+  if (state_ != State::kReading || reader_.started() || now - last_progress_at_ < kNewConnectionGrace)
     return {};
-  const EvictionPriority quiet{.eviction_class = requests_ > 0 ? Class::kIdle : Class::kSilent,
-                               .since = since_};
-  if (quiet < lowest && HasUnreadBytes())
+  const EvictionPriority idle_priority{.eviction_class = requests_read_ > 0 ? Class::kIdle : Class::kSilent,
+                                       .since = last_progress_at_};
+  if (idle_priority < lowest && HasUnreadBytes())
     return {};
-  return quiet;
+  return idle_priority;
 }
 
 bool ClientConnection::IsIdle() const {
-  // A new connection is about to send its request, whether it was accepted after the signal or right before;
-  // it is closed with the response.
+  // A new connection is probably about to send its first request, whether it was accepted after SIGTERM or
+  // shortly before. It is closed after the response to that request.
   const Micros now = SteadyNow();
-  if (requests_ == 0 && now - since_ < kNewConnectionDrainGrace && now < drain_->answers_due_at())
+  if (requests_read_ == 0 && now - last_progress_at_ < kNewConnectionDrainGrace &&
+      now < drain_->answers_due_at())
     return false;
   return state_ == State::kReading && !reader_.started() && !HasUnreadBytes();
 }
@@ -139,7 +145,7 @@
 
 void ClientConnection::ReceiveTransfer(std::uint64_t client, const TransferredConnection& transferred) {
   timer_.Clear();
-  ++requests_;
+  ++requests_read_;
   keep_alive_ = transferred.keep_alive;
   head_only_ = transferred.head_only;
   AwaitAnswer(client);
@@ -183,7 +189,7 @@
 void ClientConnection::HandleStreamEvent(short what) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) == 0)
     return;
-  // A peer that has closed its sending side only still reads the response that is being written.
+  // A peer that has closed only its sending side can still read the response that is being written.
   if ((what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) == 0 && state_ == State::kWriting) {
     close_after_response_ = true;
     return;
@@ -201,7 +207,7 @@
     return owner_->RemoveConnection(this, linger_reason_);
   if (state_ != State::kReading)
     return;
-  // Bytes that arrived in the same moment are read first.
+  // Bytes that arrived before the timeout was handled are read first.
   if (HasUnreadBytes())
     return timer_.Set(kUnreadBytesRetry);
   if (reader_.started())
@@ -225,19 +231,19 @@
     // The timeout counts from a request's first byte and is not renewed by later ones.
     if (!reader_.started()) {
       request_started_at_ = SteadyNow();
-      if (requests_ > 0)
+      if (requests_read_ > 0)
         timer_.Set(kRequestTimeout);
     }
     try {
       ReadRequestBytes(size);
     } catch (const BadRequest& error) {
-      return Reject(error.code, error.what());
+      return Reject(error.http_status, error.what());
     }
   }
   BufferNextRequest();
 }
 
-// Throws BadRequest.
+// Throws BadRequest if the request is malformed or there is no memory for it.
 void ClientConnection::ReadRequestBytes(std::size_t size) {
   evbuffer* input = bufferevent_get_input(stream_.get());
   const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
@@ -250,9 +256,10 @@
     HandleCompleteRequest();
 }
 
-// Requests are handled one at a time: bytes behind the request in flight wait, up to the size of one request.
-// Reading must not stop at that limit, or the end of a client that sends more and disconnects would go unseen
-// and its job be forwarded. So beyond it the input is discarded, and the response ends the connection.
+// Requests are handled one at a time: bytes that arrive after the request in flight are buffered, up to the
+// size of one request. Beyond that limit the input is discarded, and the connection ends after the response.
+// Reading does not stop at the limit: otherwise a client that sends more and then disconnects would not be
+// noticed, and its job would still be forwarded.
 void ClientConnection::BufferNextRequest() {
   const std::size_t size = evbuffer_get_length(bufferevent_get_input(stream_.get()));
   if (memory_.Resize(size) && size <= RequestReader::kMaxRequestBytes)
@@ -263,7 +270,7 @@
 
 void ClientConnection::HandleCompleteRequest() {
   timer_.Clear();
-  ++requests_;
+  ++requests_read_;
   keep_alive_ = reader_.keep_alive();
   HttpRequest request = std::move(reader_.request());
   head_only_ = request.method == "HEAD";
@@ -277,7 +284,7 @@
 
 // ---- Writing responses ----
 
-// After an error nothing more can be read from this connection.
+// Responds with an error and ends the connection: the start of the next request in the input is unknown.
 void ClientConnection::Reject(int status, const std::string& reason) {
   keep_alive_ = false;
   DiscardInput();
@@ -290,20 +297,20 @@
 void ClientConnection::Respond(const HttpResponse& response) {
   client_ = 0;
   state_ = State::kWriting;
-  since_ = SteadyNow();
+  last_progress_at_ = SteadyNow();
   close_after_response_ = close_after_response_ || !keep_alive_ || drain_->draining();
   const std::string text = Serialize(response, {.close = close_after_response_, .omit_body = head_only_});
   bufferevent_write(stream_.get(), text.data(), text.size());
 }
 
 void ClientConnection::HandleResponseWritten() {
-  since_ = SteadyNow();
+  last_progress_at_ = SteadyNow();
   if (close_after_response_)
-    return Linger(kLingerTimeout, CloseReason::kLingerOver);
+    return Linger(kLingerTimeout, CloseReason::kLingerEnded);
   state_ = State::kReading;
   reader_.Reset();
   timer_.Set(kIdleTimeout);
-  Read();  // the bytes that were buffered meanwhile
+  Read();  // reads the bytes that were buffered during the last request
 }
 
 void ClientConnection::Linger(Micros timeout, CloseReason reason) {
@@ -325,10 +332,10 @@
 }
 
 void ClientConnection::HandleDiscardedEnd(InputDiscarder::End end) {
-  // A peer that has closed its sending side only still reads the response that is being written.
+  // A peer that has closed only its sending side can still read the response that is being written.
   if (end == InputDiscarder::End::kClosedByPeer && state_ == State::kWriting)
     return discarder_.Stop();
-  if (end == InputDiscarder::End::kBroken)
+  if (end == InputDiscarder::End::kFailed)
     return owner_->RemoveConnection(this, CloseReason::kDiscardFailed);
   owner_->RemoveConnection(this, state_ == State::kLingering ? linger_reason_ : CloseReason::kClosedByPeer);
 }
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,4 +1,4 @@
-// One connection of a service client: reads requests one after another and writes one response to each.
+// One connection of a service client. Reads requests one after another and writes one response to each.
 #ifndef ALDERSILL_SRC_HTTP_CLIENT_CONNECTION_H_
 #define ALDERSILL_SRC_HTTP_CLIENT_CONNECTION_H_
 
@@ -19,45 +19,53 @@
 
 namespace aldersill {
 
-// A connection whose request is in flight, as it moves from one process to another.
+// A connection with a request in flight that one process of a dispatcher hands over to another.
 struct TransferredConnection {
   evutil_socket_t fd = -1;
-  bool keep_alive = false;  // after the response
-  bool head_only = false;   // the response goes without its body
+  bool keep_alive = false;  // the connection stays open after the response
+  bool head_only = false;   // the request was a HEAD: the response has no body
 };
 
 enum class CloseReason {
   kClosedByPeer,
-  kConnectionError,  // the peer reset it, or the kernel gave it up
+  kConnectionError,  // the peer reset the connection, or the kernel reported an error
   kWriteTimeout,     // the peer does not read its response
-  kLingerOver,       // the response is written, or the pause has ended, and the peer does not close
-  kDiscardFailed,    // the peer reset it, or sends without end
+  kLingerEnded,      // the last response was written; then the peer closed, or the linger timeout expired
+  kDiscardFailed,    // the peer reset the connection, or sent more than may be discarded
   kIdleTimeout,
   kDrain,
-  kEvicted,  // its descriptor is needed
+  kEvicted,  // a new connection needs the descriptor
 };
-// For logs.
+// The name in the log.
 const char* NameOf(CloseReason reason);
 
-// Which connection is closed first when a new one needs its descriptor: the lowest priority value.
+// Orders connections for eviction: when a new connection needs a descriptor, the one with the lowest value is
+// closed first.
 struct EvictionPriority {
-  enum class Class { kLingering, kSilent, kIdle, kStalled, kNotEvictable };
+  enum class Class {
+    kLingering,  // only the peer's close is missing
+    kSilent,     // has sent no request yet
+    kIdle,       // between requests
+    kStalled,    // the peer does not finish its request or does not read its response
+    kNotEvictable,
+  };
   Class eviction_class = Class::kNotEvictable;
-  Micros since = 0;
+  Micros since = 0;  // steady clock; of two connections of one class the older one is evicted
   auto operator<=>(const EvictionPriority&) const = default;
 };
 
 class ClientConnection {
  public:
-  // The frontend, which owns its connections.
+  // Implemented by the frontend, which owns its connections.
   class Owner {
    public:
-    // A complete request. Exactly one of Respond and AwaitAnswer is called on the connection before it
+    // Handles a complete request. Calls exactly one of Respond and AwaitAnswer on the connection before it
     // returns.
     virtual void HandleRequest(ClientConnection* connection, HttpRequest request) = 0;
-    // The connection answers this request itself, with an error. `request_id`: empty if it had none.
+    // Records that the connection itself answers a request with an error. `request_id` is empty if the
+    // request had none.
     virtual void HandleRejection(int status, const std::string& reason, const std::string& request_id) = 0;
-    // The connection has ended: destroys it.
+    // Destroys a connection that has ended.
     virtual void RemoveConnection(ClientConnection* connection, CloseReason reason) = 0;
 
    protected:
@@ -71,44 +79,50 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
+  // Writes the response to the current request. The connection ends afterwards if the client has asked for
+  // it, after an error, or in a drain.
   void Respond(const HttpResponse& response);
-  // The request in flight gets its response later; `client` is its number at the frontend.
+  // Marks the request as in flight: Respond is called later. `client` is its number at the frontend.
   void AwaitAnswer(std::uint64_t client);
   std::uint64_t client() const { return client_; }  // 0 without a request in flight
-  // How long the complete request has waited to be read, in the listen queue, behind another request or while
-  // the process was held up. Its client's time counts from its last byte.
+  // Time since the last byte of the complete request arrived at the kernel. The request may have waited in
+  // the listen queue, behind another request, or while the process was suspended. Its deadline counts from
+  // its last byte.
   Micros TimeSinceArrival() const { return SteadyNow() - last_byte_at_; }
 
-  // Whether the peer has closed or reset the connection, as far as the kernel knows. Unread bytes before the
-  // end hide it; they are read at once.
+  // Whether the kernel has seen the peer close or reset the connection. Unread bytes before the close hide
+  // it, but only until the event loop reads them.
   bool PeerHasClosed() const;
 
-  // What another process needs to respond to the request in flight; nothing if bytes behind it would be lost.
+  // Returns what another process needs to respond to the request in flight. Returns nothing if no request is
+  // in flight, if the peer has closed, or if bytes that arrived after the request would be lost.
   std::optional<TransferredConnection> PrepareTransfer() const;
-  // Continues with the request that another process has read.
+  // Takes over a connection whose request was read by another process.
   void ReceiveTransfer(std::uint64_t client, const TransferredConnection& transferred);
 
-  // The kernel is asked for unread bytes only if the connection could be evicted before `lowest`.
+  // `lowest` is the lowest priority found so far. A silent or idle connection with unread bytes is not
+  // evictable; the kernel is asked for them only if the connection would otherwise be below `lowest`.
   EvictionPriority PriorityForEviction(Micros now, EvictionPriority lowest) const;
 
-  // Whether a drain may close it between requests.
+  // Whether a drain may close the connection now: it is between requests and past its initial grace period.
   bool IsIdle() const;
-  // A request has arrived in part, and nothing of it waits to be read.
+  // Whether a request has arrived in part and no further bytes of it wait to be read.
   bool HasPartialRequest() const;
-  // The response is written; only the peer's close is missing.
+  // Whether the sending side is closed and only the peer's close is missing.
   bool IsLingering() const { return state_ == State::kLingering; }
-  // Ends the connection between requests. The sending side is closed first: a request that crosses the close
-  // is read and dropped, never forwarded, and resets nothing that the client has yet to read.
+  // Ends the connection between requests. Only the sending side is closed at first: a request that crosses
+  // the close is read and dropped, never forwarded. It causes no reset that would lose responses which the
+  // client has not read yet.
   void CloseBetweenRequests(CloseReason reason);
   // Responds 408 to a partial request.
   void RejectPartialRequest();
 
  private:
   enum class State {
-    kReading,         // a request, or the pause before it
+    kReading,         // reads a request, or waits for the next one
     kAwaitingAnswer,  // a request is in flight
-    kWriting,         // its response
-    kLingering,       // the response is written and the sending side closed; drops what still arrives
+    kWriting,         // writes a response
+    kLingering,       // the sending side is closed; input is dropped until the peer closes
   };
 
   static void OnRead(bufferevent* stream, void* self);
@@ -137,18 +151,19 @@
   Timer timer_;
   RequestReader reader_;
   State state_ = State::kReading;
-  Micros since_ = SteadyNow();     // accepted, or last response begun or written
-  Micros request_started_at_ = 0;  // its first byte was read
-  Micros last_byte_at_ = 0;        // of what was read or buffered, arrived
+  // When the connection was accepted, or when its last response was begun or completely written.
+  Micros last_progress_at_ = SteadyNow();
+  Micros request_started_at_ = 0;  // when the first byte of the current request was read
+  Micros last_byte_at_ = 0;        // when the last byte that was read or buffered arrived at the kernel
   std::uint64_t client_ = 0;
-  std::uint64_t requests_ = 0;  // complete ones so far
-  bool keep_alive_ = false;
-  bool close_after_response_ = false;  // this one, or the next
-  bool head_only_ = false;
-  CloseReason linger_reason_ = CloseReason::kLingerOver;
+  std::uint64_t requests_read_ = 0;    // number of complete requests so far
+  bool keep_alive_ = false;            // the current request lets the connection stay open
+  bool close_after_response_ = false;  // the connection ends after the current or the next response
+  bool head_only_ = false;             // the current request is a HEAD
+  CloseReason linger_reason_ = CloseReason::kLingerEnded;
 };
 
-// The first Req-Id of a request that may be invalid, for the log; empty if it has none.
+// The first Req-Id of a request, for the log; the request may be invalid. Empty if it has none.
 std::string RequestIdForLog(const HttpRequest& request);
 
 }  // namespace aldersill
--- a/src/http/codec.cpp
+++ b/src/http/codec.cpp
@@ -12,10 +12,10 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMaxFieldBytes = 1'024;             // of a field that is forwarded
+constexpr std::size_t kMaxFieldBytes = 1'024;             // limit of a field that is forwarded
 constexpr std::int64_t kMaxCostMicros = 3'600'000'000;    // no plausible estimate exceeds an hour
-constexpr std::int64_t kMaxDeadline = 1'000'000'000'000;  // in either unit
-constexpr std::uint64_t kSubjectMask = (1ULL << 53) - 1;  // exact in a double
+constexpr std::int64_t kMaxDeadline = 1'000'000'000'000;  // in the unit of the text, m or u
+constexpr std::uint64_t kSubjectMask = (1ULL << 53) - 1;  // such numbers are exact in a double
 constexpr double kMaxSlots = 1e6;
 constexpr const char* kMalformedDeadline = "deadline must be a number and a unit";
 constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325ULL;  // FNV-1a, 64 bits
@@ -25,14 +25,14 @@
   LoadReport load;
   if (!json.is_object())
     return load;
-  const auto read = [&](std::optional<double>* figure, std::initializer_list<const char*> names) {
+  const auto read = [&](std::optional<double>* field, std::initializer_list<const char*> names) {
     for (const char* name : names) {
       const auto found = json.find(name);
       if (found != json.end() && found->is_number())
-        *figure = found->get<double>();
+        *field = found->get<double>();
     }
   };
-  // The platform's settings and its pages name the same fields differently; both occur.
+  // The platform's settings and its documentation use different names for the same fields. Both are accepted.
   read(&load.running_jobs, {"inflight", "busy_reqs"});
   read(&load.waiting, {"queue", "pending"});
   read(&load.cpu_share, {"util", "cpu_share"});
@@ -43,7 +43,7 @@
   return load;
 }
 
-// Nothing unless the whole text is a number.
+// Returns nothing unless the whole text is a number.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text) {
   T value{};
@@ -55,8 +55,8 @@
 
 bool IsVisible(char character) { return character > ' ' && character <= '~'; }
 
-// The value of a field, empty if it is missing. `name`: in lower case. A field may occur once, as it is not
-// known which of two values a worker would use.
+// The value of a field; empty if it is missing. `name` must be in lower case. Throws BadRequest if the field
+// occurs twice, as it is not known which of the two values a worker would use.
 std::string UniqueHeader(const HttpRequest& request, std::string_view name) {
   const std::string* found = nullptr;
   for (const auto& [header, value] : request.headers) {
@@ -68,7 +68,7 @@
   }
   if (found == nullptr)
     return "";
-  // It is forwarded as it is, so it must be readable for every worker.
+  // The value is forwarded unchanged, so every worker must be able to read it.
   const auto is_plain = [](char character) { return character == ' ' || IsVisible(character); };
   if (found->size() > kMaxFieldBytes || !std::all_of(found->begin(), found->end(), is_plain))
     throw BadRequest(400, std::string(name) + " is too long or not plain text");
@@ -82,7 +82,8 @@
     throw BadRequest(400, "the path is not plain text");
 }
 
-// Req-Kind if there is one, else the first segment of the path; both must agree.
+// The job class is Req-Kind, or the first segment of the path if Req-Kind is missing. Throws BadRequest if
+// they differ or the class is not configured.
 std::string DecodeJobClass(const std::string& kind, std::string_view path,
                            const std::unordered_map<std::string, bool>& classes) {
   const std::string first_segment(path.substr(1, path.find('/', 1) - 1));
@@ -149,8 +150,8 @@
   job.time_left = DecodeDeadline(UniqueHeader(request, "req-deadline"));
   job.subject = DecodeSubject(path, job.job_class);
   DecodeExtras(UniqueHeader(request, "req-extra"), &job);
-  // The client's estimate in bare microseconds. One that cannot be read is ignored: it is no reason to
-  // reject.
+  // The client's estimate of the work, in microseconds without a unit. A malformed estimate is ignored, as it
+  // is no reason to reject the job.
   const auto cost = ParseNumber<std::int64_t>(UniqueHeader(request, "req-cost"));
   if (cost && *cost > 0 && *cost <= kMaxCostMicros)
     job.work = *cost;
@@ -164,7 +165,7 @@
   const Json json = ParseObject(text);
   // The answer to another request must never be forwarded as the answer to this one.
   if (TextOf(json, "id") != request_id)
-    throw BadMessage("id is not the request's");
+    throw BadMessage("id differs from the id of the request");
   AttemptLine line;
   line.state = DecodeState(TextOf(json, "state"));
   if (line.state == AttemptLine::State::kRunning)
@@ -180,10 +181,10 @@
   if (text.size() < 2)
     throw BadMessage(kMalformedDeadline);
   const char unit = text.back();
-  const auto figure = ParseNumber<std::int64_t>(text.substr(0, text.size() - 1));
-  if (!figure || *figure < 0 || *figure > kMaxDeadline || (unit != 'm' && unit != 'u'))
+  const auto number = ParseNumber<std::int64_t>(text.substr(0, text.size() - 1));
+  if (!number || *number < 0 || *number > kMaxDeadline || (unit != 'm' && unit != 'u'))
     throw BadMessage(kMalformedDeadline);
-  return unit == 'm' ? *figure * kMillisecond : *figure;
+  return unit == 'm' ? *number * kMillisecond : *number;
 }
 
 std::string EncodeDeadline(Micros deadline) { return std::to_string(std::max<Micros>(0, deadline)) + "u"; }
--- a/src/http/connection_acceptor.cpp
+++ b/src/http/connection_acceptor.cpp
@@ -5,9 +5,10 @@
 namespace aldersill {
 namespace {
 
-constexpr Micros kRoomCheckInterval = 20 * kMillisecond;
-// A TCP handshake that is under way takes no longer; it ends at the listener where it began.
-constexpr Micros kHandshakeTime = 200 * kMillisecond;
+constexpr Micros kResumeCheckInterval = 20 * kMillisecond;
+// Assumed upper bound of a TCP handshake. A handshake is completed at the listener where it began, even if
+// new connections are routed elsewhere by then.
+constexpr Micros kMaxHandshakeTime = 200 * kMillisecond;
 
 }  // namespace
 
@@ -44,16 +45,16 @@
   acceptor->UpdateAcceptState();
 }
 
-// For example when no descriptor is left: the new connection stays in the queue and would wake the event loop
-// again at once.
+// accept() fails, for example, when no descriptor is left. The new connection then stays in the listen queue
+// and would wake the event loop again at once, so accepting pauses unless a connection can be evicted.
 void ConnectionAcceptor::OnAcceptFailed(evconnlistener*, void* self) {
   auto* acceptor = static_cast<ConnectionAcceptor*>(self);
   if (!acceptor->owner_->EvictConnection())
     acceptor->PauseAccepting();
 }
 
-// While no connection can be evicted, new ones wait in the listen queue: worker connections need the
-// remaining descriptors.
+// At the limit, and while no connection can be evicted, new connections wait in the listen queue: worker
+// connections need the remaining descriptors.
 void ConnectionAcceptor::UpdateAcceptState() {
   if (!listening_)
     return;
@@ -69,22 +70,23 @@
     return;
   owner_->HandleAcceptPaused();
   evconnlistener_disable(listener_.get());
-  resume_timer_.Set(kRoomCheckInterval);
+  resume_timer_.Set(kResumeCheckInterval);
 }
 
 bool ConnectionAcceptor::RouteNewConnectionsTo(unsigned number) {
   if (!aldersill::RouteNewConnectionsTo(evconnlistener_get_fd(listener_.get()), number))
     return false;
   ResetLastAccept();
-  stop_timer_.Set(kHandshakeTime);
+  stop_timer_.Set(kMaxHandshakeTime);
   return true;
 }
 
-// Handshakes that were under way have ended by now: their connections are in the queue or accepted.
+// Called once the handshakes that were under way must have ended: their connections are in the listen queue
+// or accepted. Waits longer while connections still arrive.
 void ConnectionAcceptor::StopListening() {
   const Micros since_last_accept = TimeSinceLastAccept();
-  if (since_last_accept < kHandshakeTime)
-    return stop_timer_.Set(kHandshakeTime - since_last_accept);
+  if (since_last_accept < kMaxHandshakeTime)
+    return stop_timer_.Set(kMaxHandshakeTime - since_last_accept);
   listening_ = false;
   resume_timer_.Clear();
   evconnlistener_disable(listener_.get());
--- a/src/http/connection_acceptor.h
+++ b/src/http/connection_acceptor.h
@@ -1,5 +1,5 @@
 // Accepts client connections, pauses while none can be added, and stops listening once another process of
-// this dispatcher takes the new ones.
+// this dispatcher accepts the new ones.
 #ifndef ALDERSILL_SRC_HTTP_CONNECTION_ACCEPTOR_H_
 #define ALDERSILL_SRC_HTTP_CONNECTION_ACCEPTOR_H_
 
@@ -18,35 +18,37 @@
     // Takes ownership of an accepted socket.
     virtual void HandleAccepted(evutil_socket_t fd) = 0;
     virtual bool BelowConnectionLimit() const = 0;
-    // Closes a connection to make room for a new one; false if all have to stay.
+    // Closes a connection to make room for a new one. False if no connection can be closed.
     virtual bool EvictConnection() = 0;
-    // Accepting pauses for a moment.
+    // Called when accepting pauses because there is no room.
     virtual void HandleAcceptPaused() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // Binds the endpoint, and accepts nobody before StartListening. Throws std::runtime_error if the endpoint
-  // cannot be bound. `owner` must outlive this object.
+  // Binds the endpoint; accepts no connection before StartListening. Throws std::runtime_error if the
+  // endpoint cannot be bound. `owner` must outlive this object.
   ConnectionAcceptor(event_base* base, const Endpoint& endpoint, PortSharing sharing, Owner* owner);
 
-  // Binds another endpoint for ReplaceListener. Throws std::runtime_error.
+  // Binds another endpoint for ReplaceListener. Throws std::runtime_error if that fails.
   EventPtr<evconnlistener> CreateListener(const Endpoint& endpoint, PortSharing sharing);
   void ReplaceListener(EventPtr<evconnlistener> listener);
   void StartListening();
   bool listening() const { return listening_; }
   int port() const { return LocalPort(evconnlistener_get_fd(listener_.get())); }
 
-  // Accepts while there is room; otherwise pauses, and checks again soon.
+  // Accepts connections while there is room, or while one can be evicted. Otherwise pauses and checks again
+  // after a short interval.
   void UpdateAcceptState();
 
-  // Routes new connections to the process of this number and stops listening once the connections that were
-  // being established have been accepted. False if the kernel cannot route: then it listens on.
+  // Routes new connections to the process with this listener number, and stops listening once the connections
+  // that were being established have been accepted. If the kernel cannot route them, returns false and keeps
+  // listening.
   bool RouteNewConnectionsTo(unsigned number);
 
   Micros TimeSinceLastAccept() const { return SteadyNow() - last_accept_; }
-  // TimeSinceLastAccept counts from now.
+  // Makes TimeSinceLastAccept count from now.
   void ResetLastAccept() { last_accept_ = SteadyNow(); }
 
  private:
--- a/src/http/connection_table.h
+++ b/src/http/connection_table.h
@@ -1,4 +1,4 @@
-// The client connections of a frontend, and the requests that are in flight on them.
+// Holds the client connections of a frontend and the requests that are in flight on them.
 #ifndef ALDERSILL_SRC_HTTP_CONNECTION_TABLE_H_
 #define ALDERSILL_SRC_HTTP_CONNECTION_TABLE_H_
 
@@ -14,22 +14,22 @@
 class ConnectionTable {
  public:
   ClientConnection* Add(std::unique_ptr<ClientConnection> connection);
-  // Gives up ownership; null for a connection that is not in the table. A request in flight on it stays
-  // registered until FinishRequest.
+  // Hands the ownership to the caller; null if the connection is not in the table. A request in flight on the
+  // connection stays registered until FinishRequest.
   std::unique_ptr<ClientConnection> Remove(ClientConnection* connection);
 
-  // Registers a request in flight; gives its client number, which is never reused.
+  // Registers a request in flight and returns its client number, which is never reused.
   std::uint64_t StartRequest(ClientConnection* connection);
-  // The connection that awaits an answer; null if there is none of that number.
+  // The connection whose request in flight has this client number; null if there is none.
   ClientConnection* Find(std::uint64_t client) const;
-  // False if there was none of that number.
+  // Removes a request in flight. False if no request had this client number.
   bool FinishRequest(std::uint64_t client) { return in_flight_.erase(client) > 0; }
 
-  // The connection to close for a new one; null if all have to stay.
+  // The connection to close when a new one needs its descriptor; null if none may be closed.
   ClientConnection* FindEvictable(Micros now) const;
   bool AllLingering() const;
 
-  // Calls `function` for each connection; it must not add or remove any.
+  // Calls `function` for each connection. `function` must not add or remove connections.
   template <typename Function>
   void ForEach(Function function) const {
     for (const auto& [connection, owned] : connections_)
--- a/src/http/drain_schedule.cpp
+++ b/src/http/drain_schedule.cpp
@@ -5,18 +5,20 @@
 namespace aldersill {
 namespace {
 
-// SIGKILL comes no sooner than kKillDelay and the longest deadline, which counts as kMaxCountedDeadline at
-// most, after SIGTERM.
+// SIGKILL follows SIGTERM after at least kKillDelay plus the longest deadline, of which at most
+// kMaxCountedDeadline counts.
 #ifdef ALDERSILL_MUTANT_LATE_KILL_ESTIMATE  // injected fault that fleet_search must detect
 constexpr Micros kKillDelay = 3'700 * kMillisecond;
 #else
 constexpr Micros kKillDelay = 700 * kMillisecond;
 #endif
 constexpr Micros kMaxCountedDeadline = 3 * kSecond;
-// For the way to the client, and because the signal and the request may both have waited for the event loop.
+// Covers the transmission of the answer to the client, and the time for which the signal and the request may
+// both have waited for the event loop.
 constexpr Micros kKillMargin = 200 * kMillisecond;
-// A request that is complete sooner after the signal is answered in time by its own deadline.
-constexpr Micros kLateAfter = 600 * kMillisecond;
+// A request that is complete sooner after SIGTERM is not late: its own deadline, up to kMaxCountedDeadline,
+// ends before SIGKILL.
+constexpr Micros kLateRequestThreshold = 600 * kMillisecond;
 
 }  // namespace
 
@@ -25,7 +27,7 @@
 }
 
 std::optional<Micros> DrainSchedule::TimeLeftForLateRequest(Micros now) const {
-  if (!draining() || now - started_at_ < kLateAfter)
+  if (!draining() || now - started_at_ < kLateRequestThreshold)
     return std::nullopt;
   return std::max<Micros>(0, answers_due_at() - now);
 }
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -13,7 +13,8 @@
 namespace aldersill {
 namespace {
 
-// In a drain a job is not started if less time is left for it than this and than half of its deadline.
+// In a drain a job is not started if the time left is less than this and less than half of the time that the
+// job has by its deadline.
 constexpr Micros kMinTimeForLateRequest = 500 * kMillisecond;
 constexpr Micros kLateRequestRetryAfter = 500 * kMillisecond;
 constexpr const char* kReadinessPath = "/-/ready";
@@ -66,9 +67,9 @@
   ClientConnection* evictable = connections_.FindEvictable(SteadyNow());
   if (evictable == nullptr)
     return false;
-  // Closed at once, as its descriptor is needed: a request that crosses the close meets a reset and is sent
-  // again on a new connection. An idle connection has nothing unread, and its last response had time to
-  // arrive.
+  // The connection is closed at once, as its descriptor is needed. A request that crosses the close causes a
+  // reset, and the client sends it again on a new connection. An idle connection has no unread bytes, and its
+  // last response has had time to arrive.
   RemoveConnection(evictable, CloseReason::kEvicted);
   return true;
 }
@@ -88,10 +89,11 @@
     sink_->Post(ClientLeft{{ClientRef::Frontend::kHttp, client}});
 }
 
-// Clients come and go: only what this side ends, or what ends a request, is more than a trace.
+// Routine closes, by the client between requests or after a last response, are frequent and are logged at
+// debug level only. A close for another reason, or with a request in flight, is logged at info level.
 void HttpFrontend::LogClose(std::uint64_t client, CloseReason reason) {
-  const bool usual = reason == CloseReason::kClosedByPeer || reason == CloseReason::kLingerOver;
-  Log(usual && client == 0 ? LogLevel::kDebug : LogLevel::kInfo, "client_connection_closed",
+  const bool routine = reason == CloseReason::kClosedByPeer || reason == CloseReason::kLingerEnded;
+  Log(routine && client == 0 ? LogLevel::kDebug : LogLevel::kInfo, "client_connection_closed",
       {{"client", client}, {"why", NameOf(reason)}}, LogBudget::kRequests);
 }
 
@@ -114,11 +116,11 @@
   }
   job.time_left -= connection->TimeSinceArrival();
   if (job.time_left <= 0) {
-    HandleRejection(503, "its time was over when it was read", id);
+    HandleRejection(503, "its deadline had passed when it was read", id);
     return connection->Respond(RejectionResponse(kLateRequestRetryAfter));
   }
   if (!LimitTimeToDrain(&job)) {
-    HandleRejection(503, "too late in a drain", id);
+    HandleRejection(503, "too little time left in the drain", id);
     return connection->Respond(RejectionResponse(kLateRequestRetryAfter));
   }
   const std::uint64_t client = connections_.StartRequest(connection);
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -1,7 +1,7 @@
-// The HTTP/1.1 frontend for service clients. It decodes requests, reports them and disconnected clients to
-// the core, and writes the one final answer of each; it makes no dispatch decisions. It does not use evhttp's
-// server, which accepts malformed requests and cannot bound a request's arrival (measured in
-// docs/architecture.md).
+// The HTTP/1.1 frontend for service clients. It decodes requests, reports requests and client disconnects to
+// the core, and writes one final answer to each request; it makes no dispatch decisions. It does not use
+// evhttp's server, which accepts malformed requests and cannot limit the time in which a request must arrive
+// (measurements in docs/architecture.md).
 #ifndef ALDERSILL_SRC_HTTP_FRONTEND_H_
 #define ALDERSILL_SRC_HTTP_FRONTEND_H_
 
@@ -27,15 +27,15 @@
 struct HttpFrontendSettings {
   std::unordered_map<std::string, bool> requires_idempotency_key;  // by job class
   std::size_t max_connections = 0;
-  std::size_t max_unfinished_bytes = 0;  // of incomplete requests, over all connections
-  Micros longest_deadline = 0;           // of all job classes
-  bool shared_endpoint = false;          // with other processes of this dispatcher
+  std::size_t max_unfinished_bytes = 0;  // memory for incomplete requests, over all connections
+  Micros longest_deadline = 0;           // the longest request deadline of all job classes
+  bool shared_endpoint = false;          // other processes of this dispatcher bind the endpoint too
 };
 
 class HttpFrontend final : private ClientConnection::Owner, private ConnectionAcceptor::Owner {
  public:
-  // Binds its endpoint and accepts nobody before StartListening. `ready`: the answer to GET /-/ready. `sink`
-  // must outlive this object. Throws std::runtime_error if the endpoint cannot be bound.
+  // Binds the endpoint; accepts no connection before StartListening. `ready` decides the answer to
+  // GET /-/ready. `sink` must outlive this object. Throws std::runtime_error if the endpoint cannot be bound.
   HttpFrontend(event_base* base, const Endpoint& listen, HttpFrontendSettings settings, EventSink* sink,
                std::function<bool()> ready);
   ~HttpFrontend();
@@ -44,31 +44,35 @@
 
   void StartListening() { acceptor_.StartListening(); }
   bool listening() const { return acceptor_.listening(); }
-  // `listener`: replaces the present one; null keeps that.
+  // `listener` replaces the current listener unless it is null.
   void ApplySettings(HttpFrontendSettings settings, EventPtr<evconnlistener> listener);
-  // Binds a new endpoint for ApplySettings. Throws std::runtime_error.
+  // Binds a new endpoint for ApplySettings. Throws std::runtime_error if that fails.
   EventPtr<evconnlistener> CreateListener(const Endpoint& listen);
   int port() const { return acceptor_.port(); }
 
-  // Writes the final answer. Does nothing for a client that has disconnected.
+  // Writes the final answer to a request. Does nothing if the client has disconnected.
   void Reply(std::uint64_t client, const FinalAnswer& answer);
-  // Whether a client with a request in flight has closed its connection, even if that was not read yet.
+  // Whether a client with a request in flight has closed its connection, even if the event loop has not
+  // reported the close yet. False for an unknown client.
   bool ClientDisconnected(std::uint64_t client) const;
 
-  // The connection of a client that awaits its answer; nothing if it has disconnected or has sent more than
-  // its request. It stays this frontend's until CompleteTransfer.
+  // Returns the connection of a client that awaits its answer, or nothing if the client has disconnected or
+  // has sent more than its request. This frontend keeps the connection until CompleteTransfer.
   std::optional<TransferredConnection> PrepareTransfer(std::uint64_t client) const;
-  // Another process has the connection: closes this process's descriptor, and reports nothing.
+  // Closes this process's descriptor of a connection that another process has taken over. The core is not
+  // told that the client has disconnected.
   void CompleteTransfer(std::uint64_t client);
-  // Takes ownership of another process's connection; returns the client's number here.
+  // Takes ownership of a connection from another process; returns the client's number at this frontend.
   std::uint64_t ReceiveTransfer(const TransferredConnection& transferred);
 
-  // From now on connections end between requests; new ones are still accepted.
+  // Starts to close connections between requests. New connections are still accepted.
   void StartDraining();
-  // During a drain, if other processes share the endpoint: routes new connections to the process of this
-  // number and stops listening once those that were being established are accepted.
+  // Called in a drain if other processes share the endpoint. Routes new connections to the process with this
+  // listener number, and stops listening once the connections that were being established are accepted. Logs
+  // a warning and keeps listening if the kernel cannot route them.
   void RouteNewConnectionsTo(unsigned number);
-  // No request is in flight and every answer has reached its client, or its time to do so is over.
+  // Whether all connections are closed; once the answers are due, also if each remaining connection has its
+  // answer and only waits for its client to close.
   bool IsDrained() const;
   Micros TimeSinceLastAccept() const { return acceptor_.TimeSinceLastAccept(); }
 
@@ -86,7 +90,7 @@
 
   ClientConnection* AddConnection(evutil_socket_t fd);
   void RespondToReadinessCheck(ClientConnection* connection);
-  // Shortens the job's time to what is left in a drain; false if that is too little to start it.
+  // Shortens the job's time to what is left in a drain. False if that is too little to start the job.
   bool LimitTimeToDrain(Job* job) const;
   static void LogClose(std::uint64_t client, CloseReason reason);
   void LogRejections(RejectionLogThrottle::Selection selection);
--- a/src/http/frontend_drain.cpp
+++ b/src/http/frontend_drain.cpp
@@ -20,7 +20,8 @@
 
 void HttpFrontend::RouteNewConnectionsTo(unsigned number) {
   if (!acceptor_.RouteNewConnectionsTo(number))
-    Log(LogLevel::kWarning, "connection_routing_unavailable", {{"effect", "keeps listening until it exits"}});
+    Log(LogLevel::kWarning, "connection_routing_unavailable",
+        {{"effect", "this process listens until it exits"}});
 }
 
 void HttpFrontend::CloseIdleConnections() {
@@ -37,7 +38,7 @@
 bool HttpFrontend::IsDrained() const {
   if (connections_.empty())
     return true;
-  // Clients that have their answers and never close must not keep the process alive until it is killed.
+  // Clients that have their answers but never close must not keep the process alive until it is killed.
   return drain_.draining() && SteadyNow() >= drain_.answers_due_at() && connections_.AllLingering();
 }
 
--- a/src/http/frontend_transfer.cpp
+++ b/src/http/frontend_transfer.cpp
@@ -1,4 +1,4 @@
-// Transfer of client connections between the processes of a dispatcher during an upgrade.
+// Transfers client connections between the processes of a dispatcher during an upgrade.
 #include "http/frontend.h"
 
 namespace aldersill {
--- a/src/http/input_discarder.cpp
+++ b/src/http/input_discarder.cpp
@@ -7,7 +7,7 @@
 namespace aldersill {
 namespace {
 
-// The largest amount that an honest client may send by mistake.
+// More than a well-behaved client sends by mistake.
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{96} << 20;
 constexpr std::size_t kReadSize = std::size_t{1} << 20;
 
@@ -32,8 +32,8 @@
     if (discarded_bytes_ < kMaxDiscardedBytes)
       return;
   }
-  const auto ended = ended_;  // a copy, as the call may destroy this object
-  ended(size == 0 ? End::kClosedByPeer : End::kBroken);
+  const auto on_end = on_end_;  // a copy, as the call may destroy this object
+  on_end(size == 0 ? End::kClosedByPeer : End::kFailed);
 }
 
 }  // namespace aldersill
--- a/src/http/input_discarder.h
+++ b/src/http/input_discarder.h
@@ -1,4 +1,4 @@
-// Discards all that a peer still sends, so that its end is seen and nothing is stored.
+// Discards everything that a peer still sends: its close is noticed, and no input is stored.
 #ifndef ALDERSILL_SRC_HTTP_INPUT_DISCARDER_H_
 #define ALDERSILL_SRC_HTTP_INPUT_DISCARDER_H_
 
@@ -13,12 +13,14 @@
  public:
   enum class End {
     kClosedByPeer,  // the peer sends no more; it may still read
-    kBroken,        // reset, or more bytes than any honest peer sends
+    kFailed,        // the peer reset the connection, or has sent more than a well-behaved one ever does
   };
 
-  // `fd` stays the caller's and must be open until Stop or the destructor. `ended` may destroy this object.
-  InputDiscarder(event_base* base, std::function<void(End)> ended) : base_(base), ended_(std::move(ended)) {}
+  // `on_end` is called when the input has ended. It may destroy this object.
+  InputDiscarder(event_base* base, std::function<void(End)> on_end)
+      : base_(base), on_end_(std::move(on_end)) {}
 
+  // The caller keeps the ownership of `fd`, which must stay open until Stop or the destructor.
   void Start(evutil_socket_t fd);
   void Stop() { readable_.reset(); }
   bool active() const { return readable_ != nullptr; }
@@ -28,7 +30,7 @@
   void Discard(evutil_socket_t fd);
 
   event_base* base_;
-  std::function<void(End)> ended_;
+  std::function<void(End)> on_end_;
   EventPtr<event> readable_;
   std::size_t discarded_bytes_ = 0;
 };
--- a/src/http/request_memory.h
+++ b/src/http/request_memory.h
@@ -1,4 +1,4 @@
-// Memory for incomplete requests, shared by all client connections.
+// Limits the memory for incomplete requests over all client connections.
 #ifndef ALDERSILL_SRC_HTTP_REQUEST_MEMORY_H_
 #define ALDERSILL_SRC_HTTP_REQUEST_MEMORY_H_
 
@@ -8,7 +8,7 @@
 
 class RequestMemory {
  public:
-  // What one connection holds; returned at its end. The memory must outlive it.
+  // The bytes that one connection holds. The destructor gives them back. The RequestMemory must outlive it.
   class Reservation {
    public:
     explicit Reservation(RequestMemory* memory) : memory_(memory) {}
@@ -16,12 +16,13 @@
     Reservation(const Reservation&) = delete;
     Reservation& operator=(const Reservation&) = delete;
 
-    // Counts `bytes` in place of what was counted before. False if that is over the limit; the bytes of small
-    // requests are always allowed, as usual clients send no others.
+    // Counts `bytes` instead of what was counted before. Returns false if the total is then over the limit;
+    // the bytes are counted all the same. Small requests are always allowed, as well-behaved clients send no
+    // others.
     bool Resize(std::size_t bytes) {
       memory_->used_ += bytes - bytes_;
       bytes_ = bytes;
-      return bytes <= kSmallRequest || memory_->used_ <= memory_->limit_;
+      return bytes <= kSmallRequestBytes || memory_->used_ <= memory_->limit_;
     }
 
    private:
@@ -33,7 +34,7 @@
   void set_limit(std::size_t limit) { limit_ = limit; }
 
  private:
-  static constexpr std::size_t kSmallRequest = 4'096;
+  static constexpr std::size_t kSmallRequestBytes = 4'096;
 
   std::size_t limit_;
   std::size_t used_ = 0;
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -40,7 +40,8 @@
 
 // ---- Head ----
 
-// Byte by byte, so that an error is reported at once even if the rest of the head never arrives.
+// Reads the head byte by byte, so that an error is reported at once even if the rest of the head never
+// arrives.
 std::size_t RequestReader::ReadHead(std::string_view bytes) {
   std::size_t read = 0;
   for (const char byte : bytes) {
@@ -74,7 +75,7 @@
 
 void RequestReader::ReadHeadByte(char byte) {
   CheckHeadByte(byte);
-  // Before http_parser reads the head: it takes a tab behind a length as part of the value.
+  // Trimmed before http_parser reads the head, as it takes a tab after a length as part of the value.
   if (byte == '\r' && head_lines_ > 0)
     TrimTrailingSpace(&head_);
   head_.push_back(byte);
@@ -134,7 +135,8 @@
     throw BadRequest(413, "the body is too large");
   if (!complete_ && HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
     throw BadRequest(400, http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
-  // Chunks may be as small as one byte, and trailers have no bound of their own.
+  // The limit of the body does not bound the framing: chunks may be as small as one byte, and http_parser
+  // sets no limit for trailers.
   if (head_complete_)
     framing_bytes_ += parsed - std::min(parsed, request_.body.size() - body_before);
   if (framing_bytes_ > kMaxHeadBytes + kMaxBodyBytes)
@@ -161,7 +163,7 @@
   return 0;
 }
 
-// The head is parsed in one piece, so that each name and value arrives complete. Trailers are dropped.
+// http_parser gets the head in one piece, so each name and value arrives complete. Trailers are dropped.
 int RequestReader::OnHeaderField(http_parser* parser, const char* text, std::size_t size) {
   RequestReader& reader = Of(parser);
   if (!reader.head_complete_)
@@ -195,7 +197,7 @@
 
 int RequestReader::OnMessageComplete(http_parser* parser) {
   Of(parser).complete_ = true;
-  http_parser_pause(parser, 1);  // bytes behind it belong to the next request
+  http_parser_pause(parser, 1);  // later bytes belong to the next request
   return 0;
 }
 
--- a/tests/daemon/client_drain_test.cpp
+++ b/tests/daemon/client_drain_test.cpp
@@ -1,4 +1,4 @@
-// Service clients' connections while the daemon drains after SIGTERM.
+// Connections of service clients while the daemon drains after SIGTERM.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -19,7 +19,7 @@
   REQUIRE(Send(client, kReadyRequest));
   REQUIRE(Receive(client, "ready\n").text.starts_with(kStatusOk));
   scenario.daemon->Signal(SIGTERM);
-  REQUIRE(WaitReadable(client));  // the close, which this client has not read
+  REQUIRE(WaitReadable(client));  // the daemon has closed its sending side; the client has not read that
   CHECK(Send(client, Request("r1", "whole")));
   CHECK(Send(client, Request("r2", "whole")));  // fails if the connection was reset
   const Received received = Receive(client);
@@ -29,7 +29,7 @@
   socklen_t size = sizeof(error);
   getsockopt(client.fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   CHECK(error == 0);
-  CHECK(scenario.daemon->WaitForExit() == 0);  // although the client keeps its side open
+  CHECK(scenario.daemon->WaitForExit() == 0);  // the client still keeps its side open
   CHECK(scenario.NothingForwarded());
 }
 
@@ -59,18 +59,19 @@
   const auto signalled_at = Clock::now();
   scenario.daemon->Signal(SIGTERM);
   REQUIRE(scenario.daemon->WaitForLogLine("draining"));
-  std::this_thread::sleep_until(signalled_at +
-                                std::chrono::milliseconds(800));  // when a request counts as late
+  // A request that is complete more than 600 ms after SIGTERM counts as late.
+  std::this_thread::sleep_until(signalled_at + std::chrono::milliseconds(800));
   REQUIRE(Send(client, request.substr(request.size() - 8)));
   const Socket attempt = scenario.AcceptAttempt("r1");
-  // The worker does not answer. The request's own deadline is 20 s; SIGKILL comes 3.7 s after SIGTERM.
+  // The worker does not answer. The request's own deadline is 20 s, but SIGKILL would come 3.7 s after
+  // SIGTERM.
   const Received received = Receive(client);
   CHECK(received.text.starts_with("HTTP/1.1 504 Gateway Timeout\r\nConnection: close\r\n"));
   CHECK(scenario.daemon->WaitForExit() == 0);
   CHECK(Clock::now() - signalled_at < std::chrono::seconds(10));
 }
 
-// Sets the deadline of all job classes.
+// Configuration changes that set the deadline of all job classes, in microseconds.
 nlohmann::json DeadlineChanges(std::int64_t micros) {
   nlohmann::json changes;
   for (const char* job_class : {"0", "1", "2"})
@@ -85,8 +86,8 @@
   REQUIRE(Send(client, request.substr(0, request.size() - 8)));
   scenario.daemon->Signal(SIGTERM);
   REQUIRE(scenario.daemon->WaitForLogLine("draining"));
-  // The daemon is stopped until all answers are due, so that the rest of the request and that time arrive
-  // together.
+  // The daemon is suspended until all answers are due: when it continues, the rest of the request is there
+  // and the time is over.
   scenario.daemon->Suspend();
   std::this_thread::sleep_for(std::chrono::milliseconds(1'000));
   REQUIRE(Send(client, request.substr(request.size() - 8)));
@@ -106,8 +107,8 @@
   scenario.daemon->Signal(SIGTERM);
   CHECK(Receive(client).text.starts_with("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n"));
   CHECK(scenario.daemon->WaitForExit() == 0);
-  CHECK(Clock::now() - started_at <
-        std::chrono::milliseconds(2'300));  // without the drain a partial request times out after 2.4 s
+  // Outside a drain a partial request times out after 2.4 s.
+  CHECK(Clock::now() - started_at < std::chrono::milliseconds(2'300));
 }
 
 TEST_CASE("a client that reads late and never closes gets its answer and does not delay the drain") {
@@ -125,7 +126,8 @@
 }
 
 TEST_CASE("a connection accepted right before SIGTERM is served") {
-  constexpr auto kWithinGrace = std::chrono::milliseconds(400);  // within the grace of new connections
+  // Less than the 600 ms for which a drain waits for the first request of a new connection.
+  constexpr auto kWithinGrace = std::chrono::milliseconds(400);
   for (int tries = 0;; ++tries) {
     ClientScenario scenario;
     const long before = scenario.Descriptors();
@@ -136,7 +138,7 @@
     REQUIRE(scenario.daemon->WaitForLogLine("draining"));
     const bool sent = Send(client, kReadyRequest);
     if (Clock::now() - connected_at > kWithinGrace && tries < 20)
-      continue;  // the machine was too slow for the test to tell
+      continue;  // the machine was too slow for a valid result
     CHECK(sent);
     CHECK(Receive(client).text.starts_with(kStatusOk + "Connection: close\r\n"));
     CHECK(scenario.daemon->WaitForExit() == 0);
--- a/tests/daemon/client_limits_test.cpp
+++ b/tests/daemon/client_limits_test.cpp
@@ -1,4 +1,4 @@
-// Service clients' connections when descriptors or places in the connection table run out.
+// Connections of service clients when the daemon runs out of descriptors or reaches its connection limit.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -14,11 +14,12 @@
 namespace aldersill::tests {
 namespace {
 
-TEST_CASE("without free descriptors the daemon does not spin and serves new clients later") {
+TEST_CASE("without free descriptors the daemon does not busy-loop and serves new clients later") {
   ClientScenario scenario;
   std::vector<Socket> clients;
   std::vector<Socket> attempts;
-  // Until its descriptors have no gap: then the next connection cannot be accepted.
+  // Opens connections until the daemon's descriptors are numbered without a gap. A limit at their number then
+  // keeps the daemon from accepting another connection.
   const auto lowest_free = [&] {
     int fd = 0;
     while (std::filesystem::exists(std::filesystem::symlink_status(
@@ -48,11 +49,11 @@
 }
 
 TEST_CASE(
-    "a valid client is served while idle, silent and invalid ones fill the table and discovery is down") {
-  const Socket nowhere = tools::ListenOn(0);
-  shutdown(nowhere.fd(), SHUT_RDWR);
+    "a valid client is served while idle, silent and invalid ones use up the limit and discovery is down") {
+  const Socket closed_discovery = tools::ListenOn(0);
+  shutdown(closed_discovery.fd(), SHUT_RDWR);
   ClientScenario scenario(nlohmann::json{{"/limits/sockets", 64}});
-  scenario.RestartWithCachedList(nowhere, std::chrono::milliseconds(500));
+  scenario.RestartWithCachedList(closed_discovery, std::chrono::milliseconds(500));
   std::vector<Socket> clients;
   for (int i = 0; i < 60; ++i) {
     clients.push_back(scenario.Connect());
@@ -70,10 +71,10 @@
         break;
     }
   }
-  const Socket good_client = scenario.Connect();
-  REQUIRE(Send(good_client, Request("r1")));
+  const Socket valid_client = scenario.Connect();
+  REQUIRE(Send(valid_client, Request("r1")));
   ClientScenario::Complete(scenario.AcceptAttempt("r1"), "r1");
-  CHECK(Receive(good_client, "ran r1").text.starts_with(kStatusOk));
+  CHECK(Receive(valid_client, "ran r1").text.starts_with(kStatusOk));
 }
 
 }  // namespace
--- a/tests/daemon/client_readiness_test.cpp
+++ b/tests/daemon/client_readiness_test.cpp
@@ -1,4 +1,4 @@
-// When a process that starts without an answer from discovery is ready, and serves.
+// When a process that has no answer from discovery since its start reports readiness and serves requests.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -10,7 +10,7 @@
 namespace aldersill::tests {
 namespace {
 
-TEST_CASE("with discovery silent at the start a young cached list serves requests but not readiness") {
+TEST_CASE("before discovery has answered, a recent cached list serves requests but gives no readiness") {
   const Socket discovery = tools::ListenOn(0);
   ClientScenario scenario;
   scenario.RestartWithCachedList(discovery, std::chrono::milliseconds(500));
@@ -22,7 +22,7 @@
   CHECK(Receive(client, "ran r1").text.starts_with(kStatusOk));
 }
 
-TEST_CASE("an old cached list is not used before discovery has answered") {
+TEST_CASE("before discovery has answered, an old cached list is not used") {
   const Socket discovery = tools::ListenOn(0);
   ClientScenario scenario;
   scenario.RestartWithCachedList(discovery, std::chrono::hours(1));
@@ -31,14 +31,14 @@
   REQUIRE(Send(prober, kReadyRequest));
   CHECK(Receive(prober, "worker list yet\n").text.starts_with(kStatusUnavailable));
   // Discovery has been polled and has not answered.
-  const Socket call = Accept(discovery);
-  REQUIRE(Receive(call, "\r\n\r\n").text.starts_with("GET /api/targets?index=1&wait=0 "));
+  const Socket poll_connection = Accept(discovery);
+  REQUIRE(Receive(poll_connection, "\r\n\r\n").text.starts_with("GET /api/targets?index=1&wait=0 "));
   CHECK(scenario.NothingForwarded());
   const std::string list = R"({"version":2,"full":false,"servers":[]})";
-  REQUIRE(
-      Send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list));
-  // The first job may have been rejected meanwhile; one that arrives now is sent.
-  REQUIRE(Receive(call, "\r\n\r\n").text.starts_with("GET /api/targets?index=2&wait="));
+  REQUIRE(Send(poll_connection,
+               "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list));
+  // The first job may have been rejected in the meantime; a job that arrives now is forwarded.
+  REQUIRE(Receive(poll_connection, "\r\n\r\n").text.starts_with("GET /api/targets?index=2&wait="));
   REQUIRE(Send(prober, kReadyRequest));
   CHECK(Receive(prober, "ready\n").text.starts_with(kStatusOk));
   REQUIRE(Send(prober, Request("r2")));
--- a/tests/daemon/client_requests_test.cpp
+++ b/tests/daemon/client_requests_test.cpp
@@ -1,5 +1,5 @@
-// How requests of service clients are handled when bytes, the end of the connection or a reset arrive at the
-// same moment, or while a request is in flight.
+// Requests of service clients when further bytes, the end of the connection or a reset arrive at the same
+// time, or while a request is in flight.
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -14,16 +14,16 @@
 namespace aldersill::tests {
 namespace {
 
-TEST_CASE("a disconnect behind any number of bytes stops the attempt") {
-  for (const std::size_t flood : {std::size_t{0}, std::size_t{200} << 10, std::size_t{8} << 20}) {
+TEST_CASE("a disconnect after any number of extra bytes stops the attempt") {
+  for (const std::size_t extra_bytes : {std::size_t{0}, std::size_t{200} << 10, std::size_t{8} << 20}) {
     for (const bool reset : {false, true}) {
-      CAPTURE(flood);
+      CAPTURE(extra_bytes);
       CAPTURE(reset);
       ClientScenario scenario;
       Socket client = scenario.Connect();
       REQUIRE(Send(client, Request("r1")));
       const Socket attempt = scenario.AcceptAttempt("r1");
-      CHECK(Send(client, std::string(flood, 'x')));
+      CHECK(Send(client, std::string(extra_bytes, 'x')));
       reset ? Reset(&client) : client.Close();
       CHECK(Receive(attempt).end != End::kOpen);
     }
@@ -53,12 +53,12 @@
   CHECK(Receive(client, "ran r2").text.starts_with(kStatusOk));
 }
 
-TEST_CASE("too many bytes behind a request close the connection after its answer") {
+TEST_CASE("too many bytes after a request close the connection after its answer") {
   ClientScenario scenario;
   const Socket client = scenario.Connect();
   REQUIRE(Send(client, Request("r1")));
   const Socket attempt = scenario.AcceptAttempt("r1");
-  // More than the socket buffers hold, so most of it has been read once it is sent.
+  // More than the socket buffers hold, so the daemon has read most of it when Send returns.
   REQUIRE(Send(client, std::string(32 << 20, 'x')));
   ClientScenario::Complete(attempt, "r1");
   const Received received = Receive(client);
@@ -81,25 +81,25 @@
     reset ? Reset(&client) : client.Close();
     scenario.daemon->Signal(SIGCONT);
     scenario.daemon->Signal(SIGTERM);
-    CHECK(scenario.daemon->WaitForExit() == 0);  // only after it has closed the connection
+    CHECK(scenario.daemon->WaitForExit() == 0);  // the daemon exits only after it has closed the connection
     CHECK(scenario.NothingForwarded());
   }
 }
 
 TEST_CASE("no retry starts when the disconnect arrives together with the loss of the attempt") {
-  const Socket one = tools::ListenOn(0), two = tools::ListenOn(0);
+  const Socket worker_a = tools::ListenOn(0), worker_b = tools::ListenOn(0);
   nlohmann::json servers;
-  for (const Socket* listener : {&one, &two})
+  for (const Socket* listener : {&worker_a, &worker_b})
     servers.push_back({{"id", "s-" + std::to_string(servers.size())},
                        {"addr", "127.0.0.1:" + std::to_string(tools::PortOf(*listener))},
                        {"zone", "quilicura"},
                        {"state", "SERVING"}});
   ClientScenario scenario(nlohmann::json{{"/known/servers", servers}});
   Socket client = scenario.Connect();
-  REQUIRE(Send(client, Request("r1", "", 9'000, "certificado")));  // idempotent: may be retried
-  pollfd both[] = {{one.fd(), POLLIN, 0}, {two.fd(), POLLIN, 0}};
-  REQUIRE(poll(both, 2, kWaitMs) == 1);
-  Socket attempt = Accept(both[0].revents != 0 ? one : two);
+  REQUIRE(Send(client, Request("r1", "", 9'000, "certificado")));  // an idempotent class: may be retried
+  pollfd workers[] = {{worker_a.fd(), POLLIN, 0}, {worker_b.fd(), POLLIN, 0}};
+  REQUIRE(poll(workers, 2, kWaitMs) == 1);
+  Socket attempt = Accept(workers[0].revents != 0 ? worker_a : worker_b);
   REQUIRE(!Receive(attempt, "\r\n\r\n").text.empty());
   scenario.daemon->Suspend();
   attempt.Close();
@@ -107,10 +107,10 @@
   scenario.daemon->Signal(SIGCONT);
   scenario.daemon->Signal(SIGTERM);
   CHECK(scenario.daemon->WaitForExit() == 0);
-  CHECK(poll(both, 2, 0) == 0);
+  CHECK(poll(workers, 2, 0) == 0);
 }
 
-TEST_CASE("a first request that arrives in the moment of its timeout is read") {
+TEST_CASE("a first request that arrives at the same time as its timeout is read") {
   ClientScenario scenario;
   const long before = scenario.Descriptors();
   const Socket client = scenario.Connect();
@@ -122,7 +122,7 @@
   CHECK(Receive(client, "ready\n").text.starts_with(kStatusOk));
 }
 
-TEST_CASE("a request's time counts from its arrival, however late it is read") {
+TEST_CASE("a request's deadline counts from its arrival, even if it is read late") {
   ClientScenario scenario;
   for (const bool accepted_before : {true, false}) {
     CAPTURE(accepted_before);
@@ -140,13 +140,13 @@
     REQUIRE(Send(*client, Request(id, "", 3'000, "certificado")));
     std::this_thread::sleep_until(sent_at + std::chrono::milliseconds(2'000));
     scenario.daemon->Signal(SIGCONT);
-    const Socket attempt = scenario.AcceptAttempt(id);  // is not answered
+    const Socket attempt = scenario.AcceptAttempt(id);  // the worker never answers
     Receive(*client, "\r\n\r\n");
     CHECK(Clock::now() - sent_at < std::chrono::milliseconds(4'000));
   }
 }
 
-TEST_CASE("a request whose time is over when it is read is rejected and not forwarded") {
+TEST_CASE("a request whose deadline has passed when it is read is rejected and not forwarded") {
   ClientScenario scenario;
   const Socket client = scenario.Connect();
   scenario.daemon->Suspend();
--- a/tests/daemon/client_scenario.h
+++ b/tests/daemon/client_scenario.h
@@ -1,6 +1,6 @@
-// Shared by the tests of service clients' connections: the started daemon with one worker that the test
-// plays, and raw client sockets. Each test forces its moment over loopback, as the worker answers only when
-// told to.
+// Fixture of the tests of service clients' connections: the running daemon, one worker that the test code
+// impersonates, and raw client sockets. The worker answers only when a test says so, which lets each test
+// force the order of events over loopback.
 #ifndef ALDERSILL_TESTS_DAEMON_CLIENT_SCENARIO_H_
 #define ALDERSILL_TESTS_DAEMON_CLIENT_SCENARIO_H_
 
@@ -25,12 +25,14 @@
 using tools::Socket;
 using Clock = std::chrono::steady_clock;
 
+// How long a test waits for an event that is expected, enough for a slow machine.
 constexpr int kWaitMs = 15'000;
 
 inline const std::string kReadyRequest = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 inline const std::string kStatusOk = "HTTP/1.1 200 OK\r\n";
 inline const std::string kStatusUnavailable = "HTTP/1.1 503 Service Unavailable\r\n";
 
+// Whether bytes or the end of the connection arrive within `wait_ms`; for a listener, a connection.
 inline bool WaitReadable(const Socket& socket, int wait_ms = kWaitMs) {
   pollfd polled{socket.fd(), POLLIN, 0};
   return poll(&polled, 1, wait_ms) == 1;
@@ -41,7 +43,7 @@
   return Socket(accept(listener.fd(), nullptr, nullptr));
 }
 
-// False if the peer reads nothing for too long, or has closed.
+// Sends all of `text`. False if the peer reads nothing for kWaitMs or has closed the connection.
 inline bool Send(const Socket& socket, const std::string& text) {
   const timeval timeout{kWaitMs / 1'000, 0};
   setsockopt(socket.fd(), SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof(timeout));
@@ -61,7 +63,8 @@
   End end = End::kOpen;
 };
 
-// Receives up to `marker`, or to the end if it is empty, or until nothing has arrived for kWaitMs.
+// Receives until `marker` has arrived, or the end of the connection if `marker` is empty. Gives up when
+// nothing has arrived for kWaitMs; the result is then kOpen.
 inline Received Receive(const Socket& socket, const std::string& marker = "") {
   Received received;
   char buffer[4096];
@@ -83,6 +86,7 @@
   socket->Close();
 }
 
+// A job as an HTTP request with all fields that the daemon requires.
 inline std::string Request(const std::string& id, const std::string& body = "", int deadline_ms = 20'000,
                            const std::string& job_class = "cobro") {
   return "POST /" + job_class + " HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: " + job_class +
@@ -97,15 +101,15 @@
           {"state", "SERVING"}};
 }
 
-// The daemon with one worker, which the test plays.
+// The daemon with one worker, which the test code impersonates.
 class ClientScenario {
  public:
-  // `changes`: to the daemon's configuration, by JSON pointer.
+  // `changes` maps JSON pointers into the daemon's configuration to their new values.
   explicit ClientScenario(const nlohmann::json& changes = nlohmann::json::object()) {
     config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
     config.erase("discovery");
     config["known"]["servers"] = nlohmann::json::array({ServerEntry("s-1", worker)});
-    // No job waits for its tokens here.
+    // A high quota, so that no job waits for tokens.
     for (auto& tenant : config["settings"]["tenants"])
       tenant["quotaPerS"] = 1000.0;
     for (const auto& [pointer, value] : changes.items())
@@ -116,33 +120,35 @@
 
   Socket Connect() const { return tools::ConnectTo(daemon->ports().at("http")); }
 
-  // The next attempt's connection, once its head has been received.
+  // Accepts the connection of the next attempt and reads its head, which must have this request id.
   Socket AcceptAttempt(const std::string& id) const {
     Socket attempt = Accept(worker);
     REQUIRE(Receive(attempt, "\r\n\r\n").text.find("Req-Id: " + id + "\r\n") != std::string::npos);
     return attempt;
   }
-  // The worker's answer to an attempt: "ran" and its id.
+  // Answers an attempt as a worker that has done the job; the result is "ran " and the id.
   static void Complete(const Socket& attempt, const std::string& id) {
     const std::string line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ran " + id + "\"}\n";
     REQUIRE(Send(attempt,
                  "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size()) + "\r\n\r\n" + line));
   }
+  // Whether no further attempt waits at the worker's listener.
   bool NothingForwarded() const { return !WaitReadable(worker, 0); }
 
-  // How many descriptors the daemon has open.
+  // The number of descriptors that the daemon has open.
   long Descriptors() const {
     const std::filesystem::path folder = "/proc/" + std::to_string(daemon->pid()) + "/fd";
     return std::distance(std::filesystem::directory_iterator(folder), {});
   }
-  // Until the daemon has accepted a connection.
+  // Waits until the daemon has at least `count` descriptors open, for example because it has accepted a
+  // connection.
   void AwaitDescriptors(long count) const {
     while (Descriptors() < count)
       std::this_thread::yield();
   }
 
-  // Starts the daemon anew with a discovery, and a cached list of its worker and another one that was started
-  // so long ago.
+  // Starts another daemon that uses `discovery` and has a cached list of two workers: the one of this
+  // scenario, and one that was started `other_started_ago` before now, which determines the age of the list.
   void RestartWithCachedList(const Socket& discovery, std::chrono::milliseconds other_started_ago) {
     using std::chrono::duration_cast, std::chrono::milliseconds, std::chrono::system_clock;
     const auto started =
@@ -161,6 +167,7 @@
   std::optional<DaemonUnderTest> daemon;
 };
 
+// How often `part` occurs in `text`.
 inline int CountOf(const std::string& part, const std::string& text) {
   int count = 0;
   for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1))
--- a/tests/daemon/daemon_under_test.h
+++ b/tests/daemon/daemon_under_test.h
@@ -1,5 +1,5 @@
-// Runs the built program as a child process, on ports that the kernel chooses, and reads its log. Shared by
-// all tests that need the real program.
+// Runs the built program as a child process, on ports that the kernel chooses, and reads its log. Used by all
+// tests that need the real program.
 #ifndef ALDERSILL_TESTS_DAEMON_DAEMON_UNDER_TEST_H_
 #define ALDERSILL_TESTS_DAEMON_DAEMON_UNDER_TEST_H_
 
@@ -37,7 +37,7 @@
   TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "aldersill-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-      throw std::runtime_error("mkdtemp");
+      throw std::runtime_error("mkdtemp failed for " + pattern);
     path_ = pattern;
   }
   ~TemporaryDirectory() {
@@ -63,7 +63,7 @@
   LineReader(const LineReader&) = delete;
   LineReader& operator=(const LineReader&) = delete;
 
-  // The next line with its end; nothing at the end of the stream, or when `deadline` has passed.
+  // The next line with its line end; nothing at the end of the stream or when `deadline` has passed.
   std::optional<std::string> ReadLine(std::optional<Clock::time_point> deadline = std::nullopt) {
     std::size_t end = 0;
     while ((end = unread_.find('\n')) == std::string::npos) {
@@ -108,11 +108,11 @@
 
 class DaemonUnderTest {
  public:
-  // How long WaitForLogLine waits, enough for a slow machine.
+  // How long WaitForLogLine waits; enough for a slow machine.
   static constexpr std::chrono::seconds kLogTimeout{60};
 
-  // Returns once the program logs `serving`, or has ended: ports() is empty then. `settings_variable` names
-  // the environment variable that points to the operator's file.
+  // Starts the program. Returns once it logs `serving` or has ended; ports() is empty if it ended without
+  // listening. `settings_variable` names the environment variable that holds the path of the operator's file.
   DaemonUnderTest(const nlohmann::json& config, const nlohmann::json& settings,
                   const char* settings_variable = "ALDERSILL_SETTINGS",
                   const std::string& serving = " serving ", const std::string& program = ALDERSILL_PROGRAM) {
@@ -133,24 +133,24 @@
   DaemonUnderTest(const DaemonUnderTest&) = delete;
   DaemonUnderTest& operator=(const DaemonUnderTest&) = delete;
 
-  // Replaces the program's files; it reads them at its next SIGHUP.
+  // Replaces the program's files. A running program reads them at its next SIGHUP.
   void WriteConfig(const std::string& config, const nlohmann::json& settings) {
     if (std::filesystem::is_directory(directory_.path() / "config.json"))
       std::filesystem::remove(directory_.path() / "config.json");
-    // By a rename, so that a program that reads it meanwhile finds a complete file or none.
+    // Replaced by a rename, so that a program that reads it at the same time finds a complete file or none.
     std::ofstream(directory_.path() / "config.new") << config;
     std::filesystem::rename(directory_.path() / "config.new", directory_.path() / "config.json");
     std::ofstream(directory_.path() / "aldersill.yaml") << settings;  // JSON is YAML
   }
 
-  // From now on the program's configuration can be opened but not read, until WriteConfig.
+  // Replaces the configuration by a directory, which can be opened but not read, until WriteConfig.
   void MakeConfigUnreadable() {
     std::filesystem::remove(directory_.path() / "config.json");
     std::filesystem::create_directory(directory_.path() / "config.json");
   }
 
-  // Reads the log up to a line that contains `text`. False if the program ends without such a line, or logs
-  // none within kLogTimeout.
+  // Reads the log up to a line that contains `text`. False if the program ends without such a line or does
+  // not log one within kLogTimeout.
   bool WaitForLogLine(const std::string& text) {
     const auto deadline = LineReader::Clock::now() + kLogTimeout;
     while (const auto line = ReadLogLine(deadline)) {
@@ -160,21 +160,21 @@
     return false;
   }
 
-  // The listeners' ports by the names under which they are logged.
+  // The ports of the listeners, keyed by the name in the log.
   const std::map<std::string, std::uint16_t>& ports() const { return ports_; }
   pid_t pid() const { return pid_; }
-  // Everything that was read of the log so far.
+  // The part of the log that was read so far.
   const std::string& log() const { return log_text_; }
 
   void Signal(int number) { kill(pid_, number); }
-  // The program is suspended on return, until SIGCONT.
+  // Suspends the program until SIGCONT. It is suspended when this returns.
   void Suspend() {
     Signal(SIGSTOP);
     waitpid(pid_, nullptr, WUNTRACED);
   }
 
-  // Reads the rest of the log and waits for the program's end. The exit status, or minus the signal that
-  // ended it.
+  // Reads the rest of the log and waits for the program's end. Returns the exit status, or the negated number
+  // of the signal that ended the program.
   int WaitForExit() {
     while (ReadLogLine()) {
     }
@@ -182,7 +182,7 @@
     waitpid(pid_, &status, 0);
     return Ended(status);
   }
-  // The same without waiting: nothing while the program runs. Does not read the log.
+  // Returns the same value without waiting, or nothing while the program runs. Does not read the log.
   std::optional<int> ExitCodeIfEnded() {
     int status = 0;
     if (waitpid(pid_, &status, WNOHANG) != pid_)
@@ -194,7 +194,7 @@
   void StartProgram(const std::string& program, const char* settings_variable) {
     std::array<int, 2> log_pipe{};
     if (pipe(log_pipe.data()) != 0)
-      throw std::runtime_error("pipe");
+      throw std::runtime_error("cannot create the pipe of the program's log");
     pid_ = fork();
     if (pid_ == 0) {
       dup2(log_pipe[1], STDERR_FILENO);
@@ -205,7 +205,7 @@
     close(log_pipe[1]);
     log_.emplace(log_pipe[0]);
   }
-  // In the child process.
+  // Called in the child process.
   [[noreturn]] void ExecuteProgram(const std::string& program, const char* settings_variable) const {
     setenv("GW_CONFIG", (directory_.path() / "config.json").c_str(), 1);
     setenv(settings_variable, (directory_.path() / "aldersill.yaml").c_str(), 1);
@@ -223,7 +223,7 @@
       log_text_ += *line;
     return line;
   }
-  // Where `line` announces a listener.
+  // Stores the port if `line` reports a listener.
   void ReadPort(const std::string& line) {
     std::array<char, 32> name{};
     int port = 0;
@@ -237,7 +237,7 @@
   }
 
   const TemporaryDirectory directory_;
-  pid_t pid_ = -1;  // -1 once the end was seen
+  pid_t pid_ = -1;  // -1 once the program's end was noticed
   std::optional<LineReader> log_;
   std::string log_text_;
   std::map<std::string, std::uint16_t> ports_;
--- a/tests/daemon/exchanges_test.cpp
+++ b/tests/daemon/exchanges_test.cpp
@@ -1,5 +1,5 @@
-// Plays each recorded exchange in tests/exchanges against a daemon of its own. A line `config POINTER VALUE`
-// in a file sets a value of the platform's configuration, `config own POINTER VALUE` one of the operator's
+// Plays each recorded exchange in tests/exchanges against a new daemon. In a file, `config POINTER VALUE`
+// sets a value of the platform's configuration and `config own POINTER VALUE` sets one of the operator's
 // settings.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
@@ -15,11 +15,11 @@
 namespace aldersill::tests {
 namespace {
 
-// The folder of the recorded exchanges.
-const std::filesystem::path kFolder = ALDERSILL_EXCHANGES;
-std::string file_prefix;  // only files whose names begin with it are played
+// The directory of the recorded exchanges.
+const std::filesystem::path kDirectory = ALDERSILL_EXCHANGES;
+std::string file_prefix;  // only files whose names begin with this text are played
 
-// Applies the `config` lines of an exchange.
+// Applies the `config` lines of an exchange to the configuration and the settings.
 void Configure(const std::string& exchange, nlohmann::json* config, nlohmann::json* settings) {
   std::istringstream lines(exchange);
   for (std::string line; std::getline(lines, line);) {
@@ -45,8 +45,8 @@
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
-  nlohmann::json config = ReadJson((kFolder / "config.json").string());
-  nlohmann::json settings = ReadJson((kFolder / "aldersill.json").string());
+  nlohmann::json config = ReadJson((kDirectory / "config.json").string());
+  nlohmann::json settings = ReadJson((kDirectory / "aldersill.json").string());
   Configure(text.str(), &config, &settings);
   tools::Player player({});
   config["discovery"] = "127.0.0.1:" + std::to_string(player.Listen("discovery"));
@@ -62,7 +62,7 @@
 
 TEST_CASE("the daemon answers every recorded exchange as recorded") {
   std::vector<std::filesystem::path> files;
-  for (const auto& entry : std::filesystem::directory_iterator(kFolder)) {
+  for (const auto& entry : std::filesystem::directory_iterator(kDirectory)) {
     if (entry.path().extension() == ".txt" && entry.path().filename().string().starts_with(file_prefix))
       files.push_back(entry.path());
   }
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -1,5 +1,6 @@
-// The same jobs with the same faults over both frontends: the share of priority weight that is served must be
-// the same, and the rules are checked on what clients received and workers ran.
+// Runs the same jobs with the same faults over both frontends. The share of the priority weight that is
+// served must be the same, and the clients' answers and the workers' runs must satisfy the rules of the job
+// classes.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -24,17 +25,17 @@
   const char* name;
   double priority_weight;
   int deadline_ms;
-  int max_runs;  // allowed by the class's repeat rule
+  int max_runs;  // runs of one job that the class's repeat rule allows
 };
 const JobClass kClasses[] = {
     {"certificado", 5.0, 10'000, 5}, {"promesa", 3.0, 5'000, 5}, {"cobro", 8.0, 25'000, 1}};
 constexpr int kJobsPerClass = 12;
-constexpr std::chrono::milliseconds kRunTime(2);  // long enough that two concurrent runs of a job overlap
+constexpr std::chrono::milliseconds kRunTime(2);  // long enough to detect concurrent runs of one job
 
 std::string JobId(const JobClass& job_class, int index) {
   return std::string(job_class.name) + "-" + std::to_string(index);
 }
-// Of each class, the first run of one job is dropped while it runs, and that of another fails.
+// In each class, the first run of one job is dropped before its end, and the first run of another job fails.
 bool IsDropped(const std::string& id) { return id.ends_with("-3"); }
 bool IsFailed(const std::string& id) { return id.ends_with("-7"); }
 
@@ -44,10 +45,10 @@
   return IsFailed(id) ? JobOutcome::kFail : JobOutcome::kDone;
 }
 
-// Records the runs and answers of all jobs. For several threads.
+// Records the runs and answers of all jobs. Thread-safe.
 class JobRecorder {
  public:
-  // Runs a job at a worker.
+  // The function with which a worker runs a job.
   tools::RunJob Runner() {
     return [this](const std::string& id, const std::string&) {
       const int run = BeginRun(id);
@@ -65,7 +66,8 @@
     job.elapsed = elapsed;
   }
 
-  // Checks every job by the rules of its class, and returns the share of the priority weight that was served.
+  // Checks every job against the rules of its class. Returns the share of the priority weight that was
+  // served.
   double CheckRules() {
     const std::lock_guard lock(mutex_);
     double total_weight = 0.0;
@@ -122,7 +124,7 @@
 // Requests a job and waits for its answer; true if it was served.
 using RequestJob = std::function<bool(const JobClass&, const std::string& id)>;
 
-// Starts one client for each class, which requests its jobs one after the other.
+// Starts one client thread for each class. Each client requests its jobs one after another.
 void RequestAllJobs(JobRecorder* recorder, const std::function<RequestJob()>& connect) {
   std::vector<std::thread> clients;
   for (const JobClass& job_class : kClasses) {
@@ -142,7 +144,7 @@
 
 nlohmann::json Config() {
   nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
-  // Capacity for all jobs at once: what the throttle rejects is not compared here.
+  // Enough quota for all jobs at once, as the throttle's rejections are not compared here.
   for (auto& tenant : config["settings"]["tenants"])
     tenant["quotaPerS"] = 1000.0;
   return config;
@@ -153,14 +155,14 @@
 double OverFaktory() {
   JobRecorder recorder;
   nlohmann::json config = Config();
-  config.erase("discovery");  // the sessions are the endpoint list
+  config.erase("discovery");  // the connected Faktory workers are the endpoint list
   DaemonUnderTest daemon(config, kFrontendSettings);
   const std::uint16_t port = daemon.ports().at("faktory");
   std::vector<std::unique_ptr<tools::FaktorySlot>> slots;
   for (int i = 0; i < 6; ++i)
     slots.push_back(
         std::make_unique<tools::FaktorySlot>(port, "w" + std::to_string(i % 3), recorder.Runner()));
-  // The first jobs must find a worker: a push before one has connected is rejected.
+  // Waits for the workers, as a job that is pushed before one has connected is rejected.
   tools::FaktorySession info(port);
   while (info.SendCommand("INFO").value().find("\"workers\":3") == std::string::npos) {
   }
@@ -180,7 +182,7 @@
   return recorder.CheckRules();
 }
 
-// Waits for readiness, as the layer before a dispatcher does.
+// Waits for readiness, as the layer in front of a dispatcher does.
 void AwaitReady(std::uint16_t port) {
   tools::Wire wire(tools::ConnectTo(port));
   for (std::string answer; answer != "HTTP/1.1 200 OK";) {
@@ -224,11 +226,11 @@
   return recorder.CheckRules();
 }
 
-TEST_CASE("both frontends give the same service and keep the same rules") {
+TEST_CASE("both frontends serve the same share and keep the same rules") {
   const double faktory = OverFaktory();
   const double http = OverHttp();
   CHECK(faktory == doctest::Approx(http));
-  // All but the two jobs of cobro that may have run and so could not be repeated.
+  // All jobs are served except two of cobro, which may have run and must not be repeated.
   CHECK(http == doctest::Approx(1.0 - 2.0 * 8.0 / (kJobsPerClass * 16.0)));
 }
 
