--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -19,7 +19,7 @@
   return std::ranges::all_of(word, [](unsigned char byte) { return byte > ' ' && byte < 127; });
 }
 
-// OFFLINE or ONLINE with its arguments.
+// Parses OFFLINE or ONLINE with its argument. `words` starts with the command's name.
 Command ParseBanCommand(const std::vector<std::string>& words) {
   const std::string& name = words.front();
   if (words.size() != 2)
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,4 +1,4 @@
-// The commands that operators send to the management address (`mgmt`), as typed values. Pure.
+// Parses the commands that operators send to the management address (`mgmt`). Does no I/O.
 #ifndef ALDERSILL_SRC_ADMIN_COMMAND_H_
 #define ALDERSILL_SRC_ADMIN_COMMAND_H_
 
@@ -8,25 +8,26 @@
 
 namespace aldersill::admin {
 
-// HEALTH: does this process take clients?
+// HEALTH: reports whether this process accepts clients.
 struct Health {};
-// DUMP: all figures (figures.h).
+// DUMP: prints all metrics (figures.h).
 struct Dump {};
 // OFFLINE ID: bans a worker.
 struct Offline {
-  std::string worker;  // its id
+  std::string worker;  // the worker's id
 };
-// ONLINE ID: lifts the ban.
+// ONLINE ID: lifts a worker's ban.
 struct Online {
-  std::string worker;  // its id
+  std::string worker;  // the worker's id
 };
-// A line that is no command.
+// A line that is not a valid command.
 struct BadCommand {
-  std::string reason;  // one line for the operator, without its end
+  std::string reason;  // one line for the operator, without a line end
 };
 using Command = std::variant<Health, Dump, Offline, Online, BadCommand>;
 
-// `line`: without its end. Words are separated by white space; a worker's id contains none.
+// Parses `line`, which has no line end. Words are separated by white space, which a worker's id does not
+// contain.
 Command ParseCommand(std::string_view line);
 
 }  // namespace aldersill::admin
--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -6,8 +6,8 @@
 namespace aldersill::admin {
 namespace {
 
-// Collects figures under their published names.
-class FigureWriter {
+// Collects metrics under their published names, in statsd's text format.
+class MetricWriter {
  public:
   void AddCounter(std::string_view name, std::uint64_t value) { AddLine(name, value, "c"); }
   void AddGauge(std::string_view name, std::uint64_t value) { AddLine(name, value, "g"); }
@@ -24,20 +24,20 @@
 
 }  // namespace
 
-std::string EncodeFigures(const Counters& counters, std::size_t avoided_workers) {
-  FigureWriter figures;
+std::string EncodeMetrics(const Counters& counters, std::size_t avoided_workers) {
+  MetricWriter metrics;
   for (const ClassCounters& job_class : counters.classes) {
-    figures.AddCounter("success." + job_class.name, job_class.served);
-    figures.AddCounter("busy." + job_class.name, job_class.rejected);
-    figures.AddCounter("failure." + job_class.name, job_class.failed);
+    metrics.AddCounter("success." + job_class.name, job_class.served);
+    metrics.AddCounter("busy." + job_class.name, job_class.rejected);
+    metrics.AddCounter("failure." + job_class.name, job_class.failed);
   }
-  figures.AddCounter("backend_calls", counters.attempts_sent);
-  figures.AddGauge("inflight", counters.waiting_clients);
-  figures.AddGauge("hosts_listed", counters.ready_workers + counters.draining_workers);
-  figures.AddGauge("hosts_down", avoided_workers);
-  figures.AddCounter("reconfig_ok", counters.reconfigurations);
-  figures.AddCounter("reconfig_failed", counters.reconfigurations_refused);
-  return figures.text();
+  metrics.AddCounter("backend_calls", counters.attempts_sent);
+  metrics.AddGauge("inflight", counters.waiting_clients);
+  metrics.AddGauge("hosts_listed", counters.ready_workers + counters.draining_workers);
+  metrics.AddGauge("hosts_down", avoided_workers);
+  metrics.AddCounter("reconfig_ok", counters.reconfigurations);
+  metrics.AddCounter("reconfig_failed", counters.reconfigurations_refused);
+  return metrics.text();
 }
 
 }  // namespace aldersill::admin
--- a/src/admin/figures.h
+++ b/src/admin/figures.h
@@ -1,5 +1,5 @@
-// The figures that DUMP prints, in the text format of statsd: a name, a value, and c for a counter or g for a
-// gauge. Pure.
+// The metrics that DUMP prints, in statsd's text format: a name, a value, and c for a counter or g for a
+// gauge. Does no I/O.
 #ifndef ALDERSILL_SRC_ADMIN_FIGURES_H_
 #define ALDERSILL_SRC_ADMIN_FIGURES_H_
 
@@ -10,9 +10,9 @@
 
 namespace aldersill::admin {
 
-// One figure a line, each with its line end. Classes that a reload has removed keep their counters.
-// `avoided_workers`: listed workers that get no new attempts now.
-std::string EncodeFigures(const Counters& counters, std::size_t avoided_workers);
+// Returns one line per metric, each with its line end. Classes that a reload has removed keep their counters.
+// `avoided_workers`: the number of listed workers that get no new attempts at present.
+std::string EncodeMetrics(const Counters& counters, std::size_t avoided_workers);
 
 }  // namespace aldersill::admin
 
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -22,14 +22,15 @@
 constexpr LineServer::Limits kServerLimits{8, 128, 2 * kSecond};
 constexpr int kBacklog = 8;
 constexpr timeval kQueryTimeout{5, 0};
-constexpr mode_t kOthersAccess = 0177;  // masked out: all but the owner's reading and writing
+constexpr mode_t kOwnerOnlyMask = 0177;  // the umask that leaves read and write access to the owner alone
 constexpr std::size_t kMaxAnswerBytes = std::size_t{1} << 24;
 
-// Throws for a path that is too long.
+// Throws std::runtime_error if the path is too long for a Unix socket.
 sockaddr_un AddressOf(const std::string& path) {
   const auto address = MakeUnixAddress(path);
   if (!address)
-    throw std::runtime_error("control.socket: " + path + " is longer than a socket's path can be");
+    throw std::runtime_error("control.socket: " + path +
+                             " is too long for a Unix socket (at most 107 bytes)");
   return *address;
 }
 
@@ -37,21 +38,23 @@
   return connect(socket.get(), ToGenericAddress(address), sizeof(address)) == 0;
 }
 
-bool IsListenedOn(const sockaddr_un& address) {
+// Returns whether a process listens at `address`.
+bool HasListener(const sockaddr_un& address) {
   const UniqueDescriptor probe(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
   return Connect(probe, address);
 }
 
+// Does nothing if the file at `path` is not a socket.
 void RemoveSocketFile(const std::string& path) {
   struct stat status {};
   if (lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode))
     unlink(path.c_str());
 }
 
-// Creates the socket's file with access for its owner alone.
+// Creates a socket whose file only the owner can access. Throws std::runtime_error if it cannot be bound.
 UniqueDescriptor BindForOwner(const std::string& path, const sockaddr_un& address) {
   UniqueDescriptor bound(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const mode_t previous_mask = umask(kOthersAccess);
+  const mode_t previous_mask = umask(kOwnerOnlyMask);
   const int result = bind(bound.get(), ToGenericAddress(address), sizeof(address));
   const int error = errno;
   umask(previous_mask);
@@ -64,7 +67,7 @@
   return send(socket.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
 }
 
-// Without its end.
+// Returns one line without its line end; nothing if the line does not arrive complete.
 std::optional<std::string> ReceiveLine(const UniqueDescriptor& socket) {
   std::string line;
   std::array<char, 4096> buffer{};
@@ -88,7 +91,7 @@
         return handler(query).value_or(R"({"error":"no such question"})") + "\n";
       }) {
   const sockaddr_un address = AddressOf(path_);
-  if (IsListenedOn(address))
+  if (HasListener(address))
     throw std::runtime_error("control.socket: another instance listens on " + path_);
   RemoveSocketFile(path_);
   UniqueDescriptor bound = BindForOwner(path_, address);
@@ -97,7 +100,7 @@
                                                        LEV_OPT_CLOSE_ON_FREE, kBacklog, bound.get()));
   if (listener == nullptr)
     throw std::runtime_error("control.socket: cannot listen on " + path_);
-  bound.Release();  // the listener owns it
+  bound.Release();  // the listener owns the descriptor
   server_.Listen(std::move(listener));
 }
 
--- a/src/daemon/admin_component.cpp
+++ b/src/daemon/admin_component.cpp
@@ -1,4 +1,5 @@
-// The operators' address (`mgmt`): health, figures and bans, one command a connection. Off without `mgmt`.
+// The management address (`mgmt`), at which operators query health and metrics and set bans. Each connection
+// carries one command. Off if the configuration has no `mgmt`.
 #include <optional>
 #include <utility>
 
@@ -15,7 +16,7 @@
 namespace aldersill {
 namespace {
 
-// Some callers connect and finish no command for 4 s; others must be answered beside them.
+// Some callers connect and do not complete a command for 4 s. Other callers must be answered in the meantime.
 constexpr LineServer::Limits kLimits{kMaxAdminConnections, 512, 6 * kSecond};
 
 class AdminComponent : public Component {
@@ -49,7 +50,7 @@
   }
 
  private:
-  // The answer to one line of a caller, complete with its line ends.
+  // Returns the answer to one line from a caller, with its line ends.
   std::string Execute(const std::string& line) {
     return std::visit([this](const auto& command) { return Apply(command); }, admin::ParseCommand(line));
   }
@@ -60,12 +61,14 @@
     return failure.empty() ? "OK takes clients\n" : "ERR " + failure + "\n";
   }
   std::string Apply(const admin::Dump& /*dump*/) const {
-    return admin::EncodeFigures(context_.reducer->counters(), context_.reducer->AvoidedWorkers()) + "END\n";
+    return admin::EncodeMetrics(context_.reducer->counters(), context_.reducer->AvoidedWorkers()) + "END\n";
   }
   std::string Apply(const admin::Offline& command) const { return SetBan(command.worker, true); }
   std::string Apply(const admin::Online& command) const { return SetBan(command.worker, false); }
   std::string Apply(const admin::BadCommand& command) const { return "ERR " + command.reason + "\n"; }
 
+  // Bans a worker or lifts its ban, in all processes of this dispatcher, and returns the answer for the
+  // operator.
   std::string SetBan(const std::string& worker, bool banned) const {
     if (!context_.reducer->IsKnownWorker(worker))
       return "ERR " + worker + " has never been in the worker list of this dispatcher\n";
--- a/src/daemon/attempt_transport.h
+++ b/src/daemon/attempt_transport.h
@@ -1,5 +1,5 @@
-// What carries attempts to workers over one protocol: HTTP to the workers of discovery's list, or Faktory to
-// the workers that have a session here.
+// The interface through which attempts are sent to workers over one protocol: HTTP to the workers of
+// discovery's list, or Faktory to the workers that have a session with this process.
 #ifndef ALDERSILL_SRC_DAEMON_ATTEMPT_TRANSPORT_H_
 #define ALDERSILL_SRC_DAEMON_ATTEMPT_TRANSPORT_H_
 
@@ -7,19 +7,19 @@
 
 namespace aldersill {
 
-// Implemented by components; runs on the event loop's thread. A transport reports what becomes of an attempt
-// by posting AttemptConnected, AttemptSent, AttemptProgress and one AttemptEnded.
+// Implemented by components. All functions run on the event loop's thread. A transport reports the progress
+// of an attempt by posting AttemptConnected, AttemptSent, AttemptProgress and one AttemptEnded.
 class AttemptTransport {
  public:
   virtual ~AttemptTransport() = default;
 
-  // Begins an attempt at the worker that `start` names.
+  // Starts an attempt at the worker that `start` names.
   virtual void Start(const StartAttempt& start) = 0;
-  // Permits the first byte of the request. Only used with transports that post AttemptConnected and wait for
-  // this permission.
+  // Permits the transport to write the first byte of the request. Only used with transports that post
+  // AttemptConnected and wait for this permission.
   virtual void Send(const SendAttempt& /*send*/) {}
-  // Gives the attempt up. No AttemptEnded follows; AbandonedAttemptEnded does where the worker cannot be told
-  // to stop.
+  // Cancels the attempt. No AttemptEnded follows. If the worker cannot be told to stop, the transport
+  // posts AbandonedAttemptEnded when the worker has ended the attempt.
   virtual void Stop(AttemptId attempt) = 0;
 };
 
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -1,6 +1,6 @@
-// The cluster of dispatchers: runs the cluster's pure core on a UDP socket and a timer, carries out its
-// health checks over the platform component's worker client, and passes their results to the dispatcher's
-// core. Off unless the operator's file turns membership on.
+// The cluster of dispatchers: runs the cluster's core, which does no I/O, on a UDP socket and a timer.
+// Carries out the health checks that it requests through the platform component's worker client, and passes
+// their results to the dispatcher's core. Off unless the operator's file enables membership.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -21,7 +21,8 @@
 namespace aldersill {
 namespace {
 
-// How soon a change of the endpoint list reaches the division of the workers among the members.
+// The maximum delay until a change of the endpoint list affects the division of the workers among the
+// members.
 constexpr Micros kWorkersCheckInterval = 100 * kMillisecond;
 
 cluster::Settings ClusterSettingsFrom(const Config& config, const std::string& advertised_address) {
@@ -43,7 +44,7 @@
 void CheckName(const std::string& name) {
   if (name.empty() || name.size() > kMostMessageName)
     throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
-                      " bytes where membership is on");
+                      " bytes when membership is enabled");
 }
 
 class ClusterComponent : public Component {
@@ -65,7 +66,8 @@
     advertised_address_ = membership_.advertise.empty() ? ToText(ListenAddress()) : membership_.advertise;
     core_ = std::make_unique<cluster::Cluster>(ClusterSettingsFrom(config, advertised_address_),
                                                config.seed ^ static_cast<std::uint64_t>(context_.now()));
-    // The results of all members' health checks arrive here, so the core's own requests need no check.
+    // This process gets the results of all members' health checks, so the checks that the dispatcher's core
+    // requests are not needed.
     if (duties_.probing)
       context_.registry->effects.probe = [](const ProbeWorker&) {};
   }
@@ -79,14 +81,16 @@
     PostWorkersIfChanged();
   }
 
-  // Only the keys may change while the program runs.
+  // Rejects changes of the membership, the duties and the name. Only the keys in the key file can change
+  // while the program runs.
   void PrepareReload(const Config& next) override {
     if (!(next.own.membership == membership_))
       throw ConfigError("membership cannot change while the program runs");
     if (!(next.own.duties == duties_))
       throw ConfigError("duties cannot change while the program runs");
     if (core_ != nullptr && next.name != core_->members().settings().name)
-      throw ConfigError("name cannot change while the program runs, as others know it");
+      throw ConfigError(
+          "name cannot change while the program runs, because other members identify this one by it");
     if (transport_ != nullptr)
       prepared_keys_ = membership::ReadKeys(membership_.key_file);
   }
@@ -109,7 +113,8 @@
           Post(cluster::PacketReceived{std::move(address), std::move(packet)});
         });
   }
-  // With the port that the kernel chose where the settings name none.
+  // Returns the address that the transport is bound to. If the settings name port 0, it has the port that the
+  // kernel chose.
   Endpoint ListenAddress() const {
     return {membership_.listen.host, static_cast<std::uint16_t>(transport_->port())};
   }
@@ -135,8 +140,8 @@
     });
   }
 
-  // Passes the event to the cluster's core and carries out its effects. An event posted by an effect is
-  // queued until the effects before it are all carried out.
+  // Passes the event to the cluster's core and carries out its effects. An event that is posted while effects
+  // are carried out is queued until all effects of the current event are done.
   void Post(cluster::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(handling_, true))
@@ -164,8 +169,8 @@
           Post(cluster::ProbeCompleted{number, completed.outcome, completed.elapsed, completed.report});
         });
   }
-  void Perform(const cluster::DeliverResult& shared) {
-    const auto& result = shared.result;
+  void Perform(const cluster::DeliverResult& delivery) {
+    const auto& result = delivery.result;
     context_.sink->Post(ProbeCompleted{result.worker, result.outcome, result.elapsed, result.report});
   }
   void Perform(const membership::MembershipChange& change) {
@@ -182,7 +187,7 @@
         {{"duty", change.duty}, {"term", change.term}});
   }
 
-  // Runs from the start on, every kWorkersCheckInterval.
+  // Called once at the start and then every kWorkersCheckInterval.
   void PostWorkersIfChanged() {
     workers_timer_.Set(kWorkersCheckInterval);
     const std::uint64_t updates = context_.reducer->counters().endpoint_list_updates;
@@ -204,13 +209,14 @@
   DutiesSettings duties_;
   std::string advertised_address_;
   std::vector<membership::Key> prepared_keys_;        // set between PrepareReload and ApplyReload
-  std::unique_ptr<membership::Transport> transport_;  // null where membership is off
-  std::unique_ptr<cluster::Cluster> core_;            // null where membership is off
+  std::unique_ptr<membership::Transport> transport_;  // null if membership is off
+  std::unique_ptr<cluster::Cluster> core_;            // null if membership is off
   Timer core_timer_;
   Timer workers_timer_;
-  std::uint64_t posted_list_updates_ = 0;  // endpoint list updates that the workers last posted include
-  std::deque<cluster::Event> events_;
-  bool handling_ = false;
+  // The number of endpoint list updates when the workers were last posted.
+  std::uint64_t posted_list_updates_ = 0;
+  std::deque<cluster::Event> events_;  // posted but not handled yet
+  bool handling_ = false;              // whether Post is handling events now
 };
 
 }  // namespace
--- a/src/daemon/component.h
+++ b/src/daemon/component.h
@@ -1,5 +1,6 @@
-// A unit of the daemon: a protocol's frontend and worker connections, an agent, or a service for operators.
-// Daemon owns a list of components and knows none of them by type; components.cpp lists their factories.
+// The interface of the daemon's components: a protocol's frontend and worker connections, an agent, or a
+// service for operators. Daemon owns the components and uses them only through this interface; components.cpp
+// lists their factories.
 #ifndef ALDERSILL_SRC_DAEMON_COMPONENT_H_
 #define ALDERSILL_SRC_DAEMON_COMPONENT_H_
 
@@ -14,7 +15,7 @@
 
 namespace aldersill {
 
-// What a component works with. All pointers stay valid for the component's life.
+// The daemon's services that a component uses. All pointers stay valid for the component's lifetime.
 struct ComponentContext {
   event_base* base = nullptr;
   EventSink* sink = nullptr;
@@ -24,13 +25,13 @@
   std::function<Micros()> now;
 };
 
-// All functions are called on the event loop's thread.
+// All functions run on the event loop's thread.
 class Component {
  public:
   virtual ~Component() = default;
 
-  // Registers what the component provides and starts it. Throws std::runtime_error if it cannot start, as
-  // where an address is taken; the daemon then does not start.
+  // Registers the services that the component provides, and starts it. Throws std::runtime_error if it cannot
+  // start, for example because an address is in use; the daemon does not start then.
   virtual void Start(const Config& config) = 0;
   // Called once, after all components have started and the cached endpoint list has been posted.
   virtual void OnAllStarted() {}
@@ -38,22 +39,22 @@
   // A reload has two phases, so that it is applied completely or not at all.
   //
   // Phase 1: PrepareReload does everything that can fail, such as binding a new address, and keeps the result
-  // aside without any visible change. It throws to reject the configuration.
+  // for ApplyReload without any visible change. It throws an exception to reject the configuration.
   virtual void PrepareReload(const Config& /*next*/) {}
-  // Phase 2 after every PrepareReload succeeded: takes over what was prepared. Must not fail.
+  // Phase 2 if every PrepareReload succeeded: puts the prepared result into use. Must not fail.
   virtual void ApplyReload(const Config& /*config*/) {}
-  // Phase 2 after any PrepareReload threw: drops what was prepared. Also called for components whose
-  // PrepareReload was not reached.
+  // Phase 2 if any PrepareReload threw: drops the prepared result. It is also called for components whose
+  // PrepareReload was not called.
   virtual void CancelReload() {}
-  // Called after ApplyReload of all components, once the core has the new settings. `reloaded_at`: when the
-  // reload was requested, by the steady clock, before the configuration was read.
+  // Called after ApplyReload of all components, once the core has the new settings. `reloaded_at`: the steady
+  // clock's time when the reload was requested, which is before the configuration was read.
   virtual void OnReloadApplied(const Config& /*config*/, Micros /*reloaded_at*/) {}
-  // Called after CancelReload of all components: the configuration before stays in force.
+  // Called after CancelReload of all components, when the previous configuration stays in force.
   virtual void OnReloadRejected(Micros /*reloaded_at*/) {}
 
-  // Begins the graceful shutdown: requests that were accepted are finished.
+  // Begins the graceful shutdown, in which accepted requests are still answered.
   virtual void BeginDrain() {}
-  // Whether the process may end without losing work of this component.
+  // Returns whether the process can exit without losing work of this component.
   virtual bool IsIdle() const { return true; }
 };
 
--- a/src/daemon/component_registry.h
+++ b/src/daemon/component_registry.h
@@ -1,5 +1,5 @@
-// What components provide to the daemon and to each other. Each component fills its entries in
-// Component::Start; Daemon owns the registry, which outlives all components. Every function runs on the event
+// The services that components provide to the daemon and to each other. Each component sets its entries in
+// Component::Start. Daemon owns the registry, which outlives all components. All functions run on the event
 // loop's thread. An empty function means that no running component provides the service.
 #ifndef ALDERSILL_SRC_DAEMON_COMPONENT_REGISTRY_H_
 #define ALDERSILL_SRC_DAEMON_COMPONENT_REGISTRY_H_
@@ -19,13 +19,13 @@
 
 namespace aldersill {
 
-// Who carries out the effects that the core emits.
+// The components and functions that carry out the core's effects.
 class EffectHandlers {
  public:
   void SetTransport(WorkerEndpoint::Source source, AttemptTransport* transport) {
     transports_[static_cast<std::size_t>(source)] = transport;
   }
-  // Null where no component serves workers from this source.
+  // Returns null if no component serves workers from this source.
   AttemptTransport* TransportFor(WorkerEndpoint::Source source) const {
     return transports_[static_cast<std::size_t>(source)];
   }
@@ -33,13 +33,14 @@
   void SetResponseSink(ClientRef::Frontend frontend, ResponseSink* sink) {
     response_sinks_[static_cast<std::size_t>(frontend)] = sink;
   }
-  // Null where this frontend is off.
+  // Returns null if this frontend is off.
   ResponseSink* ResponseSinkFor(ClientRef::Frontend frontend) const {
     return response_sinks_[static_cast<std::size_t>(frontend)];
   }
 
-  // Starts one health check; its ProbeCompleted is posted to the core.
+  // Starts one health check, whose ProbeCompleted is posted to the core.
   std::function<void(const ProbeWorker&)> probe;
+  // Starts the watch of discovery's endpoint list, unless it has been started.
   std::function<void()> watch_endpoint_list;
   // Continues an attempt that another process transferred to this one.
   std::function<void(const ResumeAttempt&)> resume_attempt;
@@ -49,29 +50,33 @@
   std::array<ResponseSink*, 2> response_sinks_{};
 };
 
-// The processes of one dispatcher that run side by side during an upgrade. Provided by the upgrade component
-// before any other component starts; without a shared directory there are no other processes.
+// Services for the group of processes of one dispatcher that run at the same time during an upgrade. The
+// upgrade component provides them before any other component starts. Without a shared directory they report
+// that there are no other processes.
 struct ProcessGroupServices {
+  // Counts the other running processes.
   std::function<upgrade::OtherProcesses()> others;
-  // The other processes that accept new client connections.
+  // Counts the other processes that accept new client connections.
   std::function<upgrade::OtherProcesses()> others_listening;
   // Announces whether this process accepts new client connections.
   std::function<void(bool listening)> set_listening;
-  // Path of the Unix socket at which this process receives jobs; empty where it can receive none.
+  // Returns the path of the Unix socket at which this process receives jobs; empty if it cannot receive jobs.
   std::function<std::string()> own_transfer_socket;
-  // The same of the newest other process that listens; empty where there is none.
+  // Returns the path of that socket of the newest other process that accepts new client connections; empty if
+  // there is no such process.
   std::function<std::string()> peer_transfer_socket;
-  // Bans a worker or lifts its ban, in this process and in the others.
+  // Bans a worker or lifts its ban, in all processes of this dispatcher.
   std::function<void(const std::string& worker, bool banned)> set_ban;
 };
 
-// What operators can query.
+// The sources of the answers to operators' queries.
 struct OperatorServices {
-  // Why this process takes no clients, in one line; empty where it does take them.
+  // Returns in one line why this process does not accept clients; empty if it accepts them.
   std::function<std::string()> readiness_failure;
-  // Each adds a component's objects to the MIB; all are called for every walk.
+  // Each function adds one component's objects to the map that the SNMP agent serves. All of them are called
+  // for every walk.
   std::vector<std::function<void(snmp::ObjectMap*)>> snmp_object_providers;
-  // The queries of the control socket by name; each answers with one line of JSON.
+  // The queries of the control socket by name. Each returns one line of JSON.
   std::map<std::string, std::function<std::string()>> control_queries;
 };
 
@@ -79,10 +84,10 @@
   EffectHandlers effects;
   ProcessGroupServices process_group;
   OperatorServices operators;
-  // One health check for a component's own use: the result goes to the callback alone, exactly once and
-  // possibly before the call returns.
+  // Starts one health check for a component's own use. The result is passed only to the callback, exactly
+  // once and possibly before the call returns.
   std::function<void(const ProbeWorker&, std::function<void(ProbeCompleted)>)> probe_with_callback;
-  // Divides the limits on connections among `processes` processes of this dispatcher, this one included.
+  // Divides the connection limits among `processes` processes of this dispatcher, including this one.
   std::function<void(int processes)> set_process_count;
 };
 
--- a/src/daemon/components.h
+++ b/src/daemon/components.h
@@ -17,7 +17,7 @@
 std::unique_ptr<Component> MakeSnmpComponent(const ComponentContext& context);
 std::unique_ptr<Component> MakeUpgradeComponent(const ComponentContext& context);
 
-// All components, in the order in which they must start.
+// Returns all components in the order in which they must start.
 std::vector<std::unique_ptr<Component>> MakeComponents(const ComponentContext& context);
 
 }  // namespace aldersill
--- a/src/daemon/control_component.cpp
+++ b/src/daemon/control_component.cpp
@@ -1,4 +1,5 @@
-// The control socket, which answers the queries that components register. Off without a path.
+// The control socket, which answers the queries that components register. Off if the configuration has no
+// path.
 #include <memory>
 #include <optional>
 #include <string>
@@ -31,7 +32,7 @@
   }
 
  private:
-  // Null for an empty path.
+  // Returns null if the path is empty.
   std::unique_ptr<control::Server> MakeServer(const std::string& path) const {
     if (path.empty())
       return nullptr;
@@ -39,7 +40,7 @@
                                              [this](const std::string& query) { return Answer(query); });
   }
 
-  // Nothing for a query that no component has registered.
+  // Returns nothing if no component has registered the query.
   std::optional<std::string> Answer(const std::string& query) const {
     const auto& queries = context_.registry->operators.control_queries;
     const auto found = queries.find(query);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,10 +14,11 @@
 namespace aldersill {
 namespace {
 
-// The load balancer in front of us goes on sending new connections for a while after SIGTERM.
+// The load balancer in front of the dispatcher continues to send new connections for some time after SIGTERM.
 constexpr Micros kMinDrain = 700 * kMillisecond;
 constexpr Micros kDrainCheckInterval = 20 * kMillisecond;
-// A reload may name the new address of discovery, whose previous one ends soon.
+// A reload that fails because a file cannot be read is retried: it may contain the new address of discovery,
+// whose previous address stops answering soon.
 constexpr Micros kReloadRetryInterval = 200 * kMillisecond;
 constexpr Micros kReloadRetryPeriod = 10 * kSecond;
 
@@ -36,20 +37,21 @@
   return settings;
 }
 
-// Precise timers, because epoll's own timeout is in whole milliseconds, rounded up. No cached time: a timer
-// set relative to the loop's last wake-up fires early by the time spent since then, and a deadline timer that
-// fires before its deadline is missed by the dispatch module.
+// Uses precise timers, because epoll's own timeout is in whole milliseconds, rounded up. Does not use cached
+// time: a timer that is set relative to the loop's last wake-up fires early by the time spent since then, and
+// the decision module misses a deadline whose timer fires early.
 event_base* NewEventBase() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER | EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_base* base = event_base_new_with_config(config);
   event_config_free(config);
   if (base == nullptr)
-    throw std::runtime_error("libevent: no event base");
+    throw std::runtime_error("libevent: cannot create an event base");
   return base;
 }
 
-// The platform may add fields of its own, but an unknown field may also be a misspelt known one.
+// Logs unknown fields instead of rejecting them, because the platform may add fields of its own. An unknown
+// field may also be a misspelt known one.
 void LogUnknownFields(const Config& config) {
   if (config.unknown.empty())
     return;
@@ -66,7 +68,7 @@
     : base_(NewEventBase()),
       config_(std::move(config)),
       reducer_(CoreSettingsFrom(config_)),
-      // Unix time, because endpoint lists give workers' start times in it.
+      // Now() is Unix time, because endpoint lists give workers' start times in Unix time.
       clock_offset_(UnixNow() - SteadyNow()) {
   SetUpLog(config_.own.logging);
   LogUnknownFields(config_);
@@ -135,9 +137,10 @@
 }
 
 void Daemon::Perform(const StartAttempt& start) {
-  // The client may have closed its connection together with its request, or just as the event that led to
-  // this attempt arrived. The close is still unread then, and the attempt would run for nobody.
-  if (ClientHasLeft(start.client)) {
+  // The client may have closed its connection right after it sent its request, or just before the event that
+  // led to this attempt. The frontend has not read the close yet in that case, and nobody would receive the
+  // attempt's result.
+  if (ClientDisconnected(start.client)) {
     Post(ClientLeft{start.client});
     Post(AttemptEnded{.attempt = start.attempt,
                       .outcome = Outcome::kNotSent,
@@ -150,9 +153,9 @@
     transport->Start(start);
 }
 
-bool Daemon::ClientHasLeft(const ClientRef& client) const {
+bool Daemon::ClientDisconnected(const ClientRef& client) const {
   const ResponseSink* sink = registry_.effects.ResponseSinkFor(client.frontend);
-  return sink != nullptr && sink->HasLeft(client.number);
+  return sink != nullptr && sink->ClientDisconnected(client.number);
 }
 
 void Daemon::Perform(const ResumeAttempt& resume) {
@@ -233,7 +236,7 @@
   for (const auto& component : components_)
     component->CancelReload();
   if (std::exchange(reload_rejected_, true))
-    return;  // a further try of the same reload
+    return;  // a retry of the same reload, whose rejection has been reported
   for (const auto& component : components_)
     component->OnReloadRejected(reload_requested_at_);
   Log(LogLevel::kError, "configuration_rejected", {{"code", code}, {"field", field}, {"why", reason}});
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,5 +1,5 @@
-// The running dispatcher: owns the event loop, the core and the components, passes events to the core and has
-// its effects carried out.
+// The running dispatcher: owns the event loop, the core and the components, passes events to the core and
+// carries out its effects through the components.
 #ifndef ALDERSILL_SRC_DAEMON_DAEMON_H_
 #define ALDERSILL_SRC_DAEMON_DAEMON_H_
 
@@ -18,7 +18,7 @@
 
 namespace aldersill {
 
-// Runs on one thread. SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the configuration.
+// Runs on one thread. SIGTERM and SIGINT begin a graceful shutdown; SIGHUP reloads the configuration.
 class Daemon : public EventSink {
  public:
   // Starts all components. Throws std::runtime_error if one of them cannot start.
@@ -28,8 +28,8 @@
   // Serves until a graceful shutdown is complete.
   void Run();
 
-  // Passes the event to the core and carries out its effects. An event posted by an effect is queued until
-  // the effects before it are all carried out.
+  // Passes the event to the core and carries out its effects. An event that is posted while effects are
+  // carried out is queued until all effects of the current event are done.
   void Post(Event event) override;
 
  private:
@@ -48,41 +48,44 @@
   void Perform(const ProbeWorker& probe);
   void Perform(const WatchEndpointList& watch);
   void Perform(const LogLine& line);
-  bool ClientHasLeft(const ClientRef& client) const;
+  bool ClientDisconnected(const ClientRef& client) const;
 
-  // Reads the configuration again and applies all of it or, if any part is rejected, none. A file that cannot
-  // be read is tried again for a while.
+  // Reads the configuration again and applies all of it, or none of it if any part is rejected. If a file
+  // cannot be read, the reload is retried for a limited time.
   void Reload();
   void TryReload();
-  // Phase 1: reads and prepares. Nothing if the configuration was rejected; no component has changed then.
+  // Phase 1: reads the configuration and prepares the components. Returns nothing if the configuration was
+  // rejected; no component has changed then.
   std::optional<Config> PrepareReload();
+  // Cancels the reload in all components. Logs and reports the rejection once for each requested reload, not
+  // for its retries.
   void RejectReload(const std::string& code, const std::string& field, const std::string& reason);
-  // Phase 2. Cannot fail.
+  // Phase 2: applies the configuration to the core and the components. Cannot fail.
   void ApplyReload(Config next);
 
   void BeginDrain();
-  // Ends Run once the drain is complete; otherwise checks again shortly.
+  // Ends Run if the drain is complete; otherwise checks again after kDrainCheckInterval.
   void StopIfDrained();
   bool IsIdle() const;
 
-  // Unix time in microseconds that never steps back.
+  // Returns Unix time in microseconds that never steps back.
   Micros Now() const;
 
   EventPtr<event_base> base_;
   Config config_;
   Reducer reducer_;
-  std::deque<Event> events_;
-  bool reducing_ = false;
+  std::deque<Event> events_;  // posted but not passed to the core yet
+  bool reducing_ = false;     // whether Post is processing events now
   std::vector<Effect> effects_;
-  // A multimap, as the dispatch module may set several timers under one token.
+  // A multimap, because the decision module may set several timers with one token.
   std::multimap<TimerKey, std::unique_ptr<Timer>> timers_;
   std::vector<EventPtr<event>> signals_;
   std::unique_ptr<Timer> drain_timer_;
   std::unique_ptr<Timer> reload_timer_;
-  Micros reload_requested_at_ = 0;  // by the steady clock
-  bool reload_rejected_ = false;    // the one that was requested last
-  Micros clock_offset_ = 0;         // from the steady clock to Unix time, fixed at the start
-  Micros drain_began_at_ = 0;       // 0 before the drain
+  Micros reload_requested_at_ = 0;  // time of the last request for a reload, by the steady clock
+  bool reload_rejected_ = false;    // whether the last requested reload has been rejected
+  Micros clock_offset_ = 0;         // Unix time minus the steady clock's time, fixed at the start
+  Micros drain_began_at_ = 0;       // time when the drain began, by Now(); 0 before the drain
 
   ComponentRegistry registry_;
   std::vector<std::unique_ptr<Component>> components_;
--- a/src/daemon/descriptor_shares.cpp
+++ b/src/daemon/descriptor_shares.cpp
@@ -3,7 +3,7 @@
 namespace aldersill {
 namespace {
 
-// For what is neither a client's, a worker's nor an operator's connection: standard streams, epoll, signals,
+// Descriptors other than the connections of clients, workers and operators: standard streams, epoll, signals,
 // listeners, discovery.
 constexpr int kReservedForDaemon = 40;
 
--- a/src/daemon/descriptor_shares.h
+++ b/src/daemon/descriptor_shares.h
@@ -1,4 +1,4 @@
-// How the file descriptors that the dispatcher may have are divided among its kinds of connections.
+// Divides the file descriptors that the dispatcher may open among its kinds of connections.
 #ifndef ALDERSILL_SRC_DAEMON_DESCRIPTOR_SHARES_H_
 #define ALDERSILL_SRC_DAEMON_DESCRIPTOR_SHARES_H_
 
@@ -6,16 +6,18 @@
 
 namespace aldersill {
 
-// Connections at the operators' address at one time.
+// The maximum number of concurrent connections at the management address.
 constexpr int kMaxAdminConnections = 16;
 
-// Each the greatest number of connections of its kind, over all processes of the dispatcher.
+// The maximum number of connections of each kind, over all processes of the dispatcher.
 struct DescriptorShares {
-  int faktory_sessions = 0;  // 0 where Faktory is off
+  int faktory_sessions = 0;  // 0 if Faktory is off
   int http_clients = 0;
   int http_workers = 0;
 };
 
+// Reserves descriptors for the daemon itself and for operators, gives a quarter of the rest to Faktory if it
+// is enabled, and divides the remainder equally between HTTP clients and workers.
 DescriptorShares DivideDescriptors(const Config& config);
 
 }  // namespace aldersill
--- a/src/daemon/discovery_watcher.cpp
+++ b/src/daemon/discovery_watcher.cpp
@@ -11,7 +11,8 @@
 namespace aldersill {
 namespace {
 
-// When the cached list was complete, at the earliest: it is no older than the last worker start in it.
+// Returns the earliest time at which the cached list can have been complete: the latest worker start in it
+// that is not in the future.
 Micros CachedListTime(const std::vector<WorkerEndpoint>& cached, Micros now) {
   Micros latest_start = 0;
   for (const WorkerEndpoint& worker : cached) {
@@ -36,7 +37,7 @@
   return {SchedulerSettingsFrom(config), BackoffFrom(config)};
 }
 
-// `now` is the daemon's clock, in which the list gives start times; the watch counts in the steady clock.
+// `now`: the daemon's clock, in which the list gives start times. The scheduler uses the steady clock.
 WatchScheduler MakeSchedulerAtStart(const Config& config, Micros now) {
   const Micros steady_now = SteadyNow();
   const Micros cached_list_age = now - CachedListTime(config.known, now);
@@ -53,8 +54,8 @@
     return;
   discovery_ = std::make_unique<DiscoveryClient>(context_.base, *endpoint_, config.known_version,
                                                  MakeSchedulerAtStart(config, context_.now()), context_.sink);
-  // Where lists are pushed the core never asks for the watch, and what the agent has counts as notified from
-  // the start.
+  // If lists are pushed, the core never requests the watch, and the changes that the agent has count as
+  // notified from the start.
   if (!config.module.subscribe)
     discovery_->StartWatching();
 }
@@ -88,8 +89,8 @@
     discovery_->ReloadRejected(reloaded_at);
 }
 
-// List versions belong to one discovery, so the new one is asked for its complete list. Until that arrives
-// the known workers stay in use.
+// Returns the scheduler for discovery's new address. List versions belong to one discovery, so the new one is
+// asked for its complete list. The known workers stay in use until that list arrives.
 WatchScheduler DiscoveryWatcher::MakeSchedulerAfterMove(const Config& config, Micros reloaded_at) const {
   WatchScheduler scheduler = MakeScheduler(config);
   if (discovery_ != nullptr)
--- a/src/daemon/discovery_watcher.h
+++ b/src/daemon/discovery_watcher.h
@@ -1,5 +1,4 @@
-// The watch of discovery's endpoint list: started with the daemon, and replaced where a reload gives
-// discovery another address.
+// The watch of discovery's endpoint list. It is replaced if a reload changes discovery's address.
 #ifndef ALDERSILL_SRC_DAEMON_DISCOVERY_WATCHER_H_
 #define ALDERSILL_SRC_DAEMON_DISCOVERY_WATCHER_H_
 
@@ -16,12 +15,12 @@
  public:
   explicit DiscoveryWatcher(const ComponentContext& context) : context_(context) {}
 
-  // Where lists are pushed the watch begins at once; elsewhere with the first Watch.
+  // Starts the watch if lists are pushed. If they are polled, the watch starts at the first call of Watch.
   void Start(const Config& config);
-  // Begins to watch, unless this has begun or there is no discovery.
+  // Starts the watch, unless it has been started or there is no discovery.
   void Watch();
-  // Moves the watch where the reloaded configuration has another address. `reloaded_at`: when the reload was
-  // requested, by the steady clock.
+  // Moves the watch if the reloaded configuration has another address. `reloaded_at`: the steady clock's time
+  // when the reload was requested.
   void OnReloadApplied(const Config& config, Micros reloaded_at);
   void OnReloadRejected(Micros reloaded_at);
 
@@ -30,7 +29,7 @@
 
   const ComponentContext context_;
   std::optional<Endpoint> endpoint_;
-  std::unique_ptr<DiscoveryClient> discovery_;  // null where there is no discovery
+  std::unique_ptr<DiscoveryClient> discovery_;  // null if there is no discovery
 };
 
 }  // namespace aldersill
--- a/src/daemon/faktory_component.cpp
+++ b/src/daemon/faktory_component.cpp
@@ -1,5 +1,5 @@
-// The Faktory protocol: producers' sessions as clients, workers' sessions as attempt transport. Off unless
-// the operator's file turns it on.
+// The Faktory protocol: producers' sessions are clients, and workers' sessions are an attempt transport. Off
+// unless the operator's file enables it.
 #include <memory>
 #include <utility>
 
@@ -89,10 +89,10 @@
 
   const ComponentContext context_;
   FaktorySettings settings_;
-  // Null until Faktory is first turned on; kept when it is turned off, to end its sessions in order.
+  // Null until Faktory is first enabled. Kept when Faktory is disabled, so that its sessions end in order.
   std::unique_ptr<faktory::Frontend> frontend_;
-  // At most one is set, between PrepareReload and ApplyReload: the first frontend, or a new listener for the
-  // one that runs.
+  // At most one of these is set, between PrepareReload and ApplyReload: the first frontend, or a new listener
+  // for the existing frontend.
   std::unique_ptr<faktory::Frontend> prepared_frontend_;
   EventPtr<evconnlistener> prepared_listener_;
 };
--- a/src/daemon/job_transfer.cpp
+++ b/src/daemon/job_transfer.cpp
@@ -9,7 +9,8 @@
 
 constexpr Micros kRetryInterval = 100 * kMillisecond;
 
-// How many descriptors come with the job: its client's connection, and its worker's if an attempt runs.
+// Returns the number of descriptors that are sent with the job: the client's connection, and the worker's
+// connection if an attempt is running.
 std::size_t DescriptorCount(const upgrade::TransferredJob& job) { return job.running ? 2 : 1; }
 
 }  // namespace
@@ -88,7 +89,7 @@
 
 void JobTransfer::ReceiveRunning(const ClientRef& client, upgrade::TransferredJob transferred,
                                  UniqueDescriptor worker_connection) {
-  const std::uint64_t number = next_resume_number_++;
+  const std::uint64_t number = next_transfer_number_++;
   JobReceived received{.client = client,
                        .job = std::move(transferred.job),
                        .worker = transferred.running->worker,
@@ -97,7 +98,8 @@
   received_attempts_.emplace(number, ReceivedAttempt{.connection = std::move(worker_connection),
                                                      .attempt = std::move(*transferred.running)});
   context_.sink->Post(std::move(received));
-  // Resume has taken the attempt by now, unless the core dropped the job, as with a class unknown here.
+  // Post has called Resume, which takes the attempt, unless the core does not resume the job, for example
+  // because this process does not know its class.
   received_attempts_.erase(number);
 }
 
--- a/src/daemon/job_transfer.h
+++ b/src/daemon/job_transfer.h
@@ -1,14 +1,15 @@
-// Moves jobs in flight between two processes of one dispatcher during an upgrade, so that the draining
-// process can end before its jobs are done.
+// Transfers in-flight jobs between two processes of one dispatcher during an upgrade, so that the draining
+// process can exit before its jobs are done.
 //
-// A job moves in two steps. PrepareTransfer of the frontend, and of the worker client for a running attempt,
-// gives the connections' descriptors and leaves both in charge. The job and duplicates of the descriptors
-// then go to the other process in one message. Only after the kernel has taken the message does
-// CompleteTransfer close the local descriptors, with no message to the peers on these connections.
+// A job is transferred in two steps. First, PrepareTransfer of the frontend, and of the worker client if an
+// attempt is running, returns the connections' descriptors; the frontend and the worker client keep the
+// connections. The job and duplicates of the descriptors are then sent to the other process in one message.
+// Second, after the kernel has accepted the message, CompleteTransfer closes the local descriptors without
+// sending anything to the client or the worker.
 //
-// If the message cannot be sent, nothing has changed and the job is tried again later. If this process is
-// killed before CompleteTransfer, the receiver alone has the job. If the receiver is killed before it reads
-// the message, the kernel closes the descriptors in it: the client sees its connection end without an answer.
+// If the message cannot be sent, nothing has changed and the transfer is retried later. If this process is
+// killed before CompleteTransfer, only the receiver has the job. If the receiver is killed before it reads
+// the message, the kernel closes the descriptors in it, and the client's connection ends without an answer.
 #ifndef ALDERSILL_SRC_DAEMON_JOB_TRANSFER_H_
 #define ALDERSILL_SRC_DAEMON_JOB_TRANSFER_H_
 
@@ -36,22 +37,27 @@
 
   // Receives jobs at the Unix socket `path`. Throws std::runtime_error if it cannot listen there.
   void Listen(const std::string& path);
-  // Transfers jobs to the process that listens at `path`: those that can move now, and periodically what can
-  // move later, such as a request that was not yet written completely.
+  // Transfers all jobs to the process that listens at `path`. Jobs that cannot be transferred yet, for
+  // example because the request has not been written completely, are retried every kRetryInterval. Logs a
+  // warning if no process listens there.
   void TransferTo(const std::string& path);
-  // Carries out ResumeAttempt: continues an attempt that was received with its job.
+  // Carries out ResumeAttempt: continues an attempt that was received together with its job.
   void Resume(const ResumeAttempt& resume);
 
  private:
   struct ReceivedAttempt {
-    UniqueDescriptor connection;  // to the worker
+    UniqueDescriptor connection;  // the connection to the worker
     upgrade::RunningAttempt attempt;
   };
 
+  // Transfers every job that can be transferred now, and sets the timer for the next try.
   void TransferAll();
-  // False if the job cannot move now; nothing has changed then.
+  // Returns false if the job cannot be transferred now; nothing has changed then.
   bool Transfer(const InFlightJob& in_flight);
+  // Takes over a job from another process. If the message is invalid, closes the descriptors and logs an
+  // error.
   void Receive(std::string_view message, std::vector<UniqueDescriptor> descriptors);
+  // Takes over a job with its running attempt. `worker_connection`: the connection of that attempt.
   void ReceiveRunning(const ClientRef& client, upgrade::TransferredJob transferred,
                       UniqueDescriptor worker_connection);
 
@@ -61,9 +67,9 @@
   std::unique_ptr<upgrade::DescriptorReceiver> receiver_;
   std::unique_ptr<upgrade::DescriptorSender> sender_;
   Timer retry_timer_;
-  // By the number in JobReceived, until the core emits ResumeAttempt with the same number.
+  // By JobReceived::transfer_number. Each entry lasts until the core emits ResumeAttempt with that number.
   std::map<std::uint64_t, ReceivedAttempt> received_attempts_;
-  std::uint64_t next_resume_number_ = 1;
+  std::uint64_t next_transfer_number_ = 1;
 };
 
 }  // namespace aldersill
--- a/src/daemon/platform_component.cpp
+++ b/src/daemon/platform_component.cpp
@@ -1,5 +1,5 @@
-// The platform's HTTP side: service clients, connections to the workers of discovery's list, the watch of
-// that list, and the transfer of jobs to the next process in an upgrade.
+// The platform's HTTP interfaces: service clients, connections to the workers of discovery's list, and the
+// watch of that list. Also transfers jobs to the next process in an upgrade.
 #include <algorithm>
 #include <functional>
 #include <memory>
@@ -22,7 +22,7 @@
 namespace aldersill {
 namespace {
 
-// The load balancer in front of us goes on sending new connections for a while after SIGTERM.
+// The load balancer in front of the dispatcher continues to send new connections for some time after SIGTERM.
 constexpr Micros kMinTimeSinceAccept = 300 * kMillisecond;
 constexpr Micros kReadinessCheckInterval = 20 * kMillisecond;
 
@@ -34,13 +34,13 @@
   }
   settings.max_connections = static_cast<std::size_t>(DivideDescriptors(config).http_clients);
   settings.shared_endpoint = config.mgmt.has_value();
-  // An eighth of the memory limit.
   settings.max_unfinished_bytes = (static_cast<std::size_t>(config.memory_mb) << 20) / 8;
   return settings;
 }
 
-// The index of the newest other process in the kernel's group of listeners on one endpoint. The kernel
-// numbers them from 0 in the order in which they began to listen; this process is one of them.
+// Returns the index of the newest other process in the kernel's group of sockets that listen on one endpoint
+// (SO_REUSEPORT). The kernel numbers them from 0 in the order in which they began to listen; this process is
+// one of them.
 unsigned NewestListenerIndex(const upgrade::OtherProcesses& others) {
   return static_cast<unsigned>(others.newer > 0 ? others.count() : others.older - 1);
 }
@@ -59,7 +59,7 @@
                                                [this] { return IsReady(); });
     transfer_ = std::make_unique<JobTransfer>(context_, frontend_.get(), workers_.get());
     ListenForJobs();
-    // Beside another process that serves clients, waiting until this one is ready harms nobody.
+    // If another process of this dispatcher runs, it can serve clients until this one is ready.
     if (context_.registry->process_group.others().count() == 0)
       ListenForClients();
     else
@@ -73,7 +73,9 @@
   void Send(const SendAttempt& send) override { workers_->Send(send); }
   void Stop(AttemptId attempt) override { workers_->Stop(attempt); }
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { frontend_->Reply(client, answer); }
-  bool HasLeft(std::uint64_t client) const override { return frontend_->ClientDisconnected(client); }
+  bool ClientDisconnected(std::uint64_t client) const override {
+    return frontend_->ClientDisconnected(client);
+  }
 
   void PrepareReload(const Config& next) override {
     if (!(next.listen == listen_))
@@ -106,7 +108,7 @@
   }
 
  private:
-  // Over all processes of this dispatcher.
+  // The limits for all processes of this dispatcher together.
   struct Limits {
     HttpFrontendSettings frontend;
     Micros dial_timeout = 0;
@@ -117,7 +119,7 @@
             .dial_timeout = config.dial_timeout,
             .worker_connections = DivideDescriptors(config).http_workers};
   }
-  // Applies this process's part of the limits. `listener`: replaces the frontend's; null keeps it.
+  // Applies this process's share of the limits. `listener`: replaces the frontend's listener; null keeps it.
   void ApplyLimits(EventPtr<evconnlistener> listener) {
     HttpFrontendSettings settings = limits_.frontend;
     settings.max_connections /= static_cast<std::size_t>(processes_);
@@ -145,7 +147,7 @@
     registry.set_process_count = [this](int processes) { SetProcessCount(processes); };
   }
 
-  // A failure costs only the transfer: at the next upgrade this process's predecessor finishes its own jobs.
+  // If this process cannot receive jobs, its predecessor completes its own jobs before it exits.
   void ListenForJobs() {
     const std::string path = context_.registry->process_group.own_transfer_socket();
     if (path.empty())
@@ -167,7 +169,7 @@
   }
 
   bool IsReady() { return readiness_.Ready(SteadyNow(), context_.reducer->ListConfirmed()); }
-  // Empty where clients are served.
+  // Returns why this process does not accept clients; empty if it accepts them.
   std::string ReadinessFailure() {
     if (!IsReady())
       return "no worker list yet";
--- a/src/daemon/snmp_component.cpp
+++ b/src/daemon/snmp_component.cpp
@@ -1,5 +1,5 @@
-// The SNMP agent: serves the core's counters and the objects that components register. Off unless the
-// operator's file turns it on.
+// The SNMP agent, which serves the core's counters and the objects that components register. Off unless the
+// operator's file enables it.
 #include <memory>
 
 #include "daemon/components.h"
@@ -22,7 +22,7 @@
     if (agent_ != nullptr)
       LogListener("snmp", settings_.listen.host, agent_->port());
   }
-  // The SNMP library has global state and cannot be started a second time.
+  // Rejects any change, because the SNMP library has global state and cannot be started a second time.
   void PrepareReload(const Config& next) override {
     if (!(next.own.snmp == settings_))
       throw ConfigError("snmp cannot change while the program runs");
@@ -38,7 +38,7 @@
 
   const ComponentContext context_;
   SnmpSettings settings_;
-  std::unique_ptr<snmp::Agent> agent_;  // null where the agent is off
+  std::unique_ptr<snmp::Agent> agent_;  // null if the agent is off
 };
 
 }  // namespace
--- a/src/daemon/upgrade_component.cpp
+++ b/src/daemon/upgrade_component.cpp
@@ -1,6 +1,7 @@
-// The other processes of this dispatcher that run during an upgrade: counts them, shares the connection
-// limits with them, and keeps one list of bans for all. Off where operators cannot call (no `mgmt`), where
-// the kernel chooses the clients' port, or without TMPDIR: this process then acts as the only one.
+// Coordinates this process with the other processes of this dispatcher that run during an upgrade: counts
+// them, divides the connection limits among them, and keeps one ban list for all of them. Off if the
+// configuration has no `mgmt`, if the kernel chooses the clients' port, or if TMPDIR is not set; this process
+// then acts as the only one.
 #include <cstdint>
 #include <cstdlib>
 #include <optional>
@@ -16,11 +17,12 @@
 namespace aldersill {
 namespace {
 
-// How soon a ban set through another process holds here.
+// The interval of the checks for changes by other processes, and so the maximum time until a ban that was set
+// through another process takes effect in this one.
 constexpr Micros kCheckInterval = 100 * kMillisecond;
 constexpr std::uint64_t kNanosecondsPerMicrosecond = 1'000;
 
-// The directory that the processes of one dispatcher share; nothing where they share none.
+// Returns the directory that the processes of one dispatcher share; nothing if this process shares none.
 std::optional<std::string> SharedDirectory(const Config& config) {
   const char* root = std::getenv("TMPDIR");
   if (!config.mgmt || config.listen.port == 0 || root == nullptr || *root == '\0')
@@ -65,10 +67,11 @@
     services.set_ban = [this](const std::string& worker, bool banned) { SetBan(worker, banned); };
   }
 
+  // Adopts changed bans and updates the number of processes.
   void CheckGroup() {
     check_timer_.Set(kCheckInterval);
-    // The end of a killed process does not change the directory, so as long as there are other processes they
-    // are counted every time.
+    // The death of a killed process does not change the directory, so the other processes are counted at
+    // every check as long as there are any.
     if (!group_->Changed() && other_processes_ == 0)
       return;
     if (group_->BansChanged())
@@ -76,6 +79,7 @@
     UpdateProcessCount();
   }
 
+  // Counts the other processes. If their number has changed, divides the connection limits again.
   void UpdateProcessCount() {
     const int others = group_->Others().count();
     const bool changed = std::exchange(other_processes_, others) != others;
@@ -83,14 +87,15 @@
       context_.registry->set_process_count(1 + others);
   }
 
+  // Puts the bans of the shared list into effect. Keeps the current bans if the list is unreadable.
   void AdoptSharedBans() {
     const std::optional<upgrade::BanList> bans = group_->ReadBans();
     if (!bans)
-      return Log(LogLevel::kWarning, "ban_list_unreadable", {{"effect", "the bans in force are kept"}});
+      return Log(LogLevel::kWarning, "ban_list_unreadable", {{"effect", "the current bans are kept"}});
     PostChangesTo(*bans);
   }
 
-  // Posts what differs between the bans in force and `bans`.
+  // Posts the differences between the current bans and `bans` to the core.
   void PostChangesTo(const upgrade::BanList& bans) {
     const upgrade::BanList before = context_.reducer->banned();
     for (const std::string& worker : bans) {
@@ -103,7 +108,7 @@
     }
   }
 
-  // A ban that cannot be shared still holds in this process.
+  // A ban that cannot be shared with the other processes still takes effect in this one.
   void SetBan(const std::string& worker, bool banned) {
     if (!group_)
       return context_.sink->Post(WorkerBanned{worker, banned});
@@ -121,9 +126,9 @@
   }
 
   const ComponentContext context_;
-  std::optional<upgrade::ProcessGroup> group_;  // nothing where this process acts as the only one
+  std::optional<upgrade::ProcessGroup> group_;  // none if this process acts as the only one
   Timer check_timer_;
-  int other_processes_ = 0;  // at the last check
+  int other_processes_ = 0;  // number of other processes at the last check
 };
 
 }  // namespace
--- a/src/upgrade/ban_list.h
+++ b/src/upgrade/ban_list.h
@@ -1,5 +1,5 @@
-// The file format in which the processes of one dispatcher keep their common list of banned workers: one JSON
-// object with the format's name and the workers' ids. Pure.
+// The file format of the list of banned workers that the processes of one dispatcher share: one JSON object
+// with the format's name and the workers' ids. Does no I/O.
 #ifndef ALDERSILL_SRC_UPGRADE_BAN_LIST_H_
 #define ALDERSILL_SRC_UPGRADE_BAN_LIST_H_
 
@@ -13,7 +13,7 @@
 using BanList = std::set<std::string>;  // workers' ids
 
 std::string EncodeBans(const BanList& bans);
-// Nothing if `text` is incomplete or in another format.
+// Returns nothing if `text` is incomplete or in another format.
 std::optional<BanList> DecodeBans(std::string_view text);
 
 }  // namespace aldersill::upgrade
--- a/src/upgrade/descriptor_channel.cpp
+++ b/src/upgrade/descriptor_channel.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 constexpr std::size_t kMaxDescriptors = 2;
-constexpr std::size_t kMaxMessageBytes = std::size_t{256}
-                                         << 10;  // a body of 64 KiB, a head, and a response's beginning
+// Large enough for a request's body of 64 KiB, its head, and the part of the response received so far.
+constexpr std::size_t kMaxMessageBytes = std::size_t{256} << 10;
 constexpr int kSocketType = SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC;
 constexpr int kBacklog = 8;
 
-// Room for the control message that carries the descriptors.
+// Buffer for the control message that carries the descriptors.
 struct alignas(cmsghdr) ControlBuffer {
   std::array<char, CMSG_SPACE(kMaxDescriptors * sizeof(int))> bytes{};
 };
@@ -74,11 +74,11 @@
   return sendmsg(socket_.get(), &header, MSG_NOSIGNAL) == static_cast<ssize_t>(message.size());
 }
 
-DescriptorReceiver::DescriptorReceiver(event_base* base, std::string path, Received received)
-    : base_(base), path_(std::move(path)), received_(std::move(received)) {
+DescriptorReceiver::DescriptorReceiver(event_base* base, std::string path, MessageHandler handle_message)
+    : base_(base), path_(std::move(path)), handle_message_(std::move(handle_message)) {
   const auto address = MakeUnixAddress(path_);
   if (!address)
-    throw std::runtime_error(path_ + " is longer than a socket's path can be");
+    throw std::runtime_error(path_ + " is too long for a Unix socket (at most 107 bytes)");
   UniqueDescriptor listening(socket(AF_UNIX, kSocketType, 0));
   if (!listening.valid() || bind(listening.get(), ToGenericAddress(*address), sizeof(*address)) != 0)
     throw std::runtime_error("cannot listen on " + path_ + ": " + std::strerror(errno));
@@ -86,7 +86,7 @@
                                      kBacklog, listening.get()));
   if (listener_ == nullptr)
     throw std::runtime_error("cannot listen on " + path_);
-  listening.Release();  // the listener owns it
+  listening.Release();  // the listener owns the descriptor
 }
 
 DescriptorReceiver::~DescriptorReceiver() {
@@ -127,7 +127,8 @@
     return errno == EAGAIN || errno == EINTR;
   if (size == 0)
     return false;
-  received_(std::string_view(message).substr(0, static_cast<std::size_t>(size)), TakeDescriptors(&header));
+  handle_message_(std::string_view(message).substr(0, static_cast<std::size_t>(size)),
+                  TakeDescriptors(&header));
   return true;
 }
 
--- a/src/upgrade/job_codec.cpp
+++ b/src/upgrade/job_codec.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char* kFormat = "aldersill-job-1";
 
-// Bodies and responses may hold any bytes, which a JSON string may not.
+// Encodes as binary, because bodies and responses may hold any bytes and a JSON string must be UTF-8.
 Json EncodeBytes(const std::string& bytes) {
   return Json::binary(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
 }
--- a/src/upgrade/job_codec.h
+++ b/src/upgrade/job_codec.h
@@ -1,6 +1,6 @@
-// The message in which one process transfers a job to the next: everything but the connections themselves,
-// which travel beside it as descriptors (descriptor_channel.h). MessagePack of one map that names its format.
-// Pure.
+// The message with which one process transfers a job to the next. It holds everything except the connections,
+// which are sent with it as descriptors (descriptor_channel.h). It is encoded as one MessagePack map with the
+// format's name. Does no I/O.
 #ifndef ALDERSILL_SRC_UPGRADE_JOB_CODEC_H_
 #define ALDERSILL_SRC_UPGRADE_JOB_CODEC_H_
 
@@ -12,23 +12,23 @@
 
 namespace aldersill::upgrade {
 
-// An attempt whose request was written completely to its worker.
+// An attempt whose request has been written completely to its worker.
 struct RunningAttempt {
-  std::string worker;    // its id
-  std::string address;   // address:port
-  std::string received;  // the bytes of the response so far
+  std::string worker;    // the worker's id
+  std::string address;   // the worker's address:port
+  std::string received;  // the bytes of the response that have arrived so far
 };
 
 struct TransferredJob {
-  Job job;                                // its time_left counts from the transfer on
-  bool may_have_run = false;              // by an attempt before the running one
-  bool keep_alive = false;                // the client's connection stays open after the response
-  bool head_only = false;                 // the response goes without its body
-  std::optional<RunningAttempt> running;  // nothing where no attempt was made yet
+  Job job;                                // its time_left counts from the time of the transfer
+  bool may_have_run = false;              // whether an attempt before `running` may have run the job
+  bool keep_alive = false;                // whether the client's connection stays open after the response
+  bool head_only = false;                 // whether the response is sent without its body
+  std::optional<RunningAttempt> running;  // none if no attempt has been made yet
 };
 
 std::string EncodeJob(const TransferredJob& transferred);
-// Nothing if `bytes` are incomplete or in another format.
+// Returns nothing if `bytes` is incomplete or in another format.
 std::optional<TransferredJob> DecodeJob(std::string_view bytes);
 
 }  // namespace aldersill::upgrade
--- a/src/upgrade/process_group.cpp
+++ b/src/upgrade/process_group.cpp
@@ -24,7 +24,7 @@
 constexpr std::string_view kSocketPrefix = "jobs-";
 constexpr const char* kBansFile = "bans.json";
 constexpr const char* kBansLockFile = "bans.lock";
-constexpr const char* kNextBansSuffix = ".bans";
+constexpr const char* kTemporaryBansSuffix = ".bans";
 constexpr mode_t kOwnerOnly = 0600;
 
 [[noreturn]] void ThrowSystemError(const std::string& what, const fs::path& path) {
@@ -37,14 +37,14 @@
 
 bool Lock(const UniqueDescriptor& file, int operation) { return flock(file.get(), operation) == 0; }
 
-// All names have one length, so that they sort by time.
+// All names have the same length, so their lexical order is the order of the start times.
 std::string MemberName(std::uint64_t start_time) {
   std::array<char, 17> digits{};
   std::snprintf(digits.data(), digits.size(), "%016llx", static_cast<unsigned long long>(start_time));
   return std::string(kMemberPrefix) + digits.data();
 }
 
-// Whether a process holds the lock on the member's file.
+// Returns whether a process holds the lock on the member's file.
 bool IsRunning(const fs::path& member_file) {
   const UniqueDescriptor file = OpenFile(member_file, O_RDONLY);
   return file.valid() && !Lock(file, LOCK_SH | LOCK_NB) && errno == EWOULDBLOCK;
@@ -54,31 +54,31 @@
 
 ProcessGroup::ProcessGroup(fs::path directory, std::uint64_t start_time)
     : directory_(std::move(directory)), own_name_(MemberName(start_time)) {
-  std::error_code ignored;  // if it is missing, opening the file fails
+  std::error_code ignored;  // if the directory cannot be created, opening the file below fails
   fs::create_directories(directory_, ignored);
   own_file_ = OpenFile(directory_ / own_name_, O_RDWR | O_CREAT | O_EXCL);
   if (!own_file_.valid() || !Lock(own_file_, LOCK_EX | LOCK_NB))
-    ThrowSystemError("cannot keep", directory_ / own_name_);
+    ThrowSystemError("cannot create and lock", directory_ / own_name_);
 }
 
 ProcessGroup::~ProcessGroup() {
-  // The file goes before its lock, so that no other process takes this one for killed.
+  // Removes the file while its lock is held, so that no other process takes this one for a killed process.
   std::error_code ignored;
   fs::remove(directory_ / own_name_, ignored);
 }
 
-OtherProcesses ProcessGroup::Others() const { return CountOthers(Which::kAll); }
+OtherProcesses ProcessGroup::Others() const { return CountOthers(MemberFilter::kAll); }
 
-OtherProcesses ProcessGroup::OthersListening() const { return CountOthers(Which::kListening); }
+OtherProcesses ProcessGroup::OthersListening() const { return CountOthers(MemberFilter::kListening); }
 
 void ProcessGroup::SetListening(bool listening) {
   const off_t size = listening ? 1 : 0;
   static_cast<void>(ftruncate(own_file_.get(), size) == 0);
 }
 
-OtherProcesses ProcessGroup::CountOthers(Which which) const {
+OtherProcesses ProcessGroup::CountOthers(MemberFilter filter) const {
   OtherProcesses others;
-  for (const std::string& name : OtherMembers(which)) {
+  for (const std::string& name : OtherMembers(filter)) {
     if (name < own_name_)
       ++others.older;
     else
@@ -87,7 +87,7 @@
   return others;
 }
 
-std::vector<std::string> ProcessGroup::OtherMembers(Which which) const {
+std::vector<std::string> ProcessGroup::OtherMembers(MemberFilter filter) const {
   std::vector<std::string> names;
   std::error_code error;
   for (fs::directory_iterator entry(directory_, error), end; !error && entry != end; entry.increment(error)) {
@@ -98,7 +98,7 @@
     if (!IsRunning(entry->path())) {
       fs::remove(entry->path(), ignored);
       fs::remove(SocketOf(name), ignored);
-    } else if (which == Which::kAll || fs::file_size(entry->path(), ignored) > 0) {
+    } else if (filter == MemberFilter::kAll || fs::file_size(entry->path(), ignored) > 0) {
       names.push_back(name);
     }
   }
@@ -106,7 +106,8 @@
   return names;
 }
 
-// The shorter prefix keeps the path within the length that a socket's path may have.
+// The socket's prefix is shorter than the member file's, because the length of a Unix socket's path is
+// limited.
 std::string ProcessGroup::SocketOf(const std::string& member) const {
   return (directory_ / (std::string(kSocketPrefix) + member.substr(kMemberPrefix.size()))).string();
 }
@@ -114,7 +115,7 @@
 std::string ProcessGroup::OwnSocket() const { return SocketOf(own_name_); }
 
 std::string ProcessGroup::NewestListeningSocket() const {
-  const std::vector<std::string> names = OtherMembers(Which::kListening);
+  const std::vector<std::string> names = OtherMembers(MemberFilter::kListening);
   return names.empty() ? "" : SocketOf(names.back());
 }
 
@@ -132,7 +133,8 @@
 
 std::optional<BanList> ProcessGroup::ReadBans() {
   std::error_code error;
-  // Taken before the file is read: a replacement in between then counts as a change and is read again.
+  // The write time is taken before the file is read. If the file is replaced in between, BansChanged reports
+  // the change and the file is read again.
   const auto written = fs::last_write_time(directory_ / kBansFile, error);
   if (error)
     return BanList{};
@@ -154,13 +156,13 @@
 }
 
 void ProcessGroup::WriteBans(const BanList& bans) const {
-  const fs::path next = directory_ / (own_name_ + kNextBansSuffix);
-  std::ofstream file(next, std::ios::trunc);
+  const fs::path temporary = directory_ / (own_name_ + kTemporaryBansSuffix);
+  std::ofstream file(temporary, std::ios::trunc);
   file << EncodeBans(bans);
   file.close();
   if (!file)
-    ThrowSystemError("cannot write", next);
-  if (std::rename(next.c_str(), (directory_ / kBansFile).c_str()) != 0)
+    ThrowSystemError("cannot write", temporary);
+  if (std::rename(temporary.c_str(), (directory_ / kBansFile).c_str()) != 0)
     ThrowSystemError("cannot replace", directory_ / kBansFile);
 }
 
--- a/tests/daemon/admin_test.cpp
+++ b/tests/daemon/admin_test.cpp
@@ -1,5 +1,5 @@
-// The operators' address: the parsing of commands, the figures, bans in the core, and the address of a
-// started daemon.
+// Tests of the management address: the parsing of commands, the metrics, bans in the core, and the management
+// address of a running daemon.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -20,7 +20,7 @@
 using admin::ParseCommand;
 using tools::Socket;
 
-// ---- Commands and figures ----
+// ---- Commands and metrics ----
 
 TEST_CASE("a line is parsed as a command or rejected with a reason") {
   CHECK(std::holds_alternative<admin::Health>(ParseCommand("HEALTH")));
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("figures are statsd lines with the classes in their order") {
+TEST_CASE("metrics are statsd lines with the classes in their order") {
   Counters counters;
   counters.classes = {{.name = "b", .served = 812, .rejected = 3, .failed = 1}, {.name = "a"}};
   counters.attempts_sent = 900;
@@ -43,7 +43,7 @@
   counters.draining_workers = 2;
   counters.reconfigurations = 4;
   counters.reconfigurations_refused = 1;
-  CHECK(admin::EncodeFigures(counters, 3) ==
+  CHECK(admin::EncodeMetrics(counters, 3) ==
         "app.success.b:812|c\napp.busy.b:3|c\napp.failure.b:1|c\n"
         "app.success.a:0|c\napp.busy.a:0|c\napp.failure.a:0|c\n"
         "app.backend_calls:900|c\napp.inflight:14|g\napp.hosts_listed:7|g\napp.hosts_down:3|g\n"
@@ -60,7 +60,7 @@
   return worker;
 }
 
-// A reducer with one class, of repeatable jobs, and one worker, s-1.
+// A reducer with one class, whose jobs are repeatable, and one worker, s-1.
 class CoreUnderTest {
  public:
   CoreUnderTest() : reducer_(Settings()) { PostEndpointList({Worker("s-1")}); }
@@ -74,7 +74,7 @@
     Post(EndpointListUpdate{
         .form = EndpointListUpdate::Form::kSnapshot, .source = {}, .workers = std::move(workers)});
   }
-  // The number of attempts that start when a request is taken.
+  // Posts a request and returns the number of attempts that the reducer starts.
   int AttemptsStartedForRequest() {
     Job job;
     job.job_class = "fast";
@@ -117,7 +117,7 @@
   CHECK(!core.reducer().IsKnownWorker("s-2"));
 }
 
-TEST_CASE("a ban stops an attempt whose request was not sent yet") {
+TEST_CASE("a ban stops an attempt whose request has not been sent yet") {
   CoreUnderTest core;
   REQUIRE(core.AttemptsStartedForRequest() == 1);
   int stopped = 0;
@@ -126,12 +126,12 @@
   CHECK(stopped == 1);
 }
 
-// ---- The started daemon ----
+// ---- The running daemon ----
 
 constexpr const char* kServed = "HTTP/1.1 200 OK";
 constexpr const char* kRejected = "HTTP/1.1 503 Service Unavailable";
 
-// A daemon with an operators' address and one worker, s-1, that completes every job.
+// A daemon with a management address and one worker, s-1, that completes every job.
 class DaemonWithAdmin {
   tools::HttpServer worker_;
 
@@ -147,7 +147,7 @@
   }
 
   Socket ConnectAdmin() const { return tools::ConnectTo(daemon->ports().at("mgmt")); }
-  // The complete answer to one command.
+  // Sends a command on a new connection and returns the complete answer.
   std::string Command(const std::string& line) const {
     const Socket connection = ConnectAdmin();
     const std::string text = line + "\n";
@@ -162,8 +162,9 @@
       text.append(buffer, static_cast<std::size_t>(size));
     return text;
   }
-  // The value and type of one of DUMP's figures; empty if there is none of this name.
-  std::string Figure(const std::string& name) const {
+  // Returns the value and type of one of DUMP's metrics, such as 2|c; empty if there is no metric of this
+  // name.
+  std::string Metric(const std::string& name) const {
     const std::string prefix = "app." + name + ":";
     std::istringstream lines(Command("DUMP"));
     for (std::string line; std::getline(lines, line);) {
@@ -172,42 +173,42 @@
     }
     return "";
   }
-  // The status line of the answer to a client's request.
+  // Sends a client's request and returns the answer's status line.
   std::string Request(const std::string& id) const {
     tools::Wire wire(tools::ConnectTo(daemon->ports().at("http")));
     return tools::Post(&wire, "promesa", id, kTenant, 2'000, "x").start;
   }
 
-  nlohmann::json config;  // as at the start
+  nlohmann::json config;  // the configuration with which the daemon was started
   std::optional<DaemonUnderTest> daemon;
 };
 
-TEST_CASE("figures agree with clients' answers and the worker's requests, and a ban with what is rejected") {
+TEST_CASE("metrics match the clients' answers and the worker's requests, also while the worker is banned") {
   const DaemonWithAdmin service;
   CHECK(service.Command("HEALTH").starts_with("OK"));
   CHECK(service.Request("r1") == kServed);
   CHECK(service.Request("r2") == kServed);
-  CHECK(service.Figure("success.promesa") == "2|c");
-  CHECK(service.Figure("backend_calls") == "2|c");
-  CHECK(service.Figure("inflight") == "0|g");
-  CHECK(service.Figure("hosts_listed") == "1|g");
+  CHECK(service.Metric("success.promesa") == "2|c");
+  CHECK(service.Metric("backend_calls") == "2|c");
+  CHECK(service.Metric("inflight") == "0|g");
+  CHECK(service.Metric("hosts_listed") == "1|g");
   CHECK(service.Command("DUMP").ends_with("\nEND\n"));
   CHECK(service.Command("OFFLINE s-9").starts_with("ERR s-9 has never been"));
   CHECK(service.Command("OFFLINE s-1").starts_with("OK"));
-  CHECK(service.Figure("hosts_down") == "1|g");
+  CHECK(service.Metric("hosts_down") == "1|g");
   CHECK(service.Request("r3") == kRejected);
-  CHECK(service.Figure("busy.promesa") == "1|c");
-  CHECK(service.Figure("backend_calls") == "2|c");
+  CHECK(service.Metric("busy.promesa") == "1|c");
+  CHECK(service.Metric("backend_calls") == "2|c");
   CHECK(service.Command("ONLINE s-1").starts_with("OK"));
   CHECK(service.Request("r4") == kServed);
   CHECK(service.Command("RESTART s-1").starts_with("ERR unknown command"));
 }
 
-// Reloads configurations and checks after each that it is counted and that requests are served.
+// Reloads configurations. Checks after each reload that it has been counted and that requests are served.
 class ReloadScenario {
  public:
   const nlohmann::json& config() const { return service_.config; }
-  std::string Figure(const std::string& name) const { return service_.Figure(name); }
+  std::string Metric(const std::string& name) const { return service_.Metric(name); }
 
   void ExpectRejected(const std::string& text) {
     Reload(text, " configuration_rejected ");
@@ -227,8 +228,8 @@
     REQUIRE(service_.daemon->WaitForLogLine(expected_log_line));
   }
   void CheckAfterReload() const {
-    CHECK(service_.Figure("reconfig_failed") == std::to_string(rejected_) + "|c");
-    CHECK(service_.Figure("reconfig_ok") == std::to_string(applied_) + "|c");
+    CHECK(service_.Metric("reconfig_failed") == std::to_string(rejected_) + "|c");
+    CHECK(service_.Metric("reconfig_ok") == std::to_string(applied_) + "|c");
     CHECK(service_.Request("r" + std::to_string(rejected_ + applied_)) == kServed);
   }
 
@@ -255,7 +256,7 @@
   }
 }
 
-// Leaves out each required key in turn.
+// Omits each required key in turn.
 void ExpectMissingKeysRejected(ReloadScenario* scenario) {
   for (const char* object : {"", "/settings", "/settings/limits", "/settings/rules", "/settings/grades/0"}) {
     const nlohmann::json::json_pointer pointer(object);
@@ -279,12 +280,12 @@
   added["name"] = "added";
   changed["settings"]["grades"].push_back(added);
   scenario->ExpectApplied(changed.dump());
-  CHECK(scenario->Figure("success.added") == "0|c");
+  CHECK(scenario->Metric("success.added") == "0|c");
   changed["settings"]["grades"].erase(0);
   scenario->ExpectApplied(changed.dump());
 }
 
-TEST_CASE("a reload of a broken configuration changes nothing and is counted") {
+TEST_CASE("a reload of an invalid configuration changes nothing and is counted") {
   ReloadScenario scenario;
   ExpectIncompleteFilesRejected(&scenario);
   ExpectValuesOutOfRangeRejected(&scenario);
@@ -292,7 +293,8 @@
   ExpectChangedClassesApplied(&scenario);
 }
 
-TEST_CASE("callers that send nothing, half a line, an endless one or many do not block a valid command") {
+TEST_CASE(
+    "callers that send nothing, an incomplete line, an endless line or many lines do not block a command") {
   const DaemonWithAdmin service;
   const std::vector<std::string> kNoCommands = {"", "HEAL", std::string(100'000, 'x'),
                                                 std::string("\0\xff\n", 3) + std::string(1'000, '\n')};
@@ -303,7 +305,7 @@
     static_cast<void>(send(callers.back().fd(), text.data(), text.size(), MSG_NOSIGNAL));
   }
   CHECK(service.Command("HEALTH").starts_with("OK"));
-  // The daemon closes the other connections in bounded time.
+  // This loop ends only if the daemon closes all other connections.
   for (const Socket& caller : callers)
     static_cast<void>(DaemonWithAdmin::ReadToEnd(caller));
 }
--- a/tests/daemon/bad_configuration_test.cpp
+++ b/tests/daemon/bad_configuration_test.cpp
@@ -1,4 +1,4 @@
-// A program that is started with a bad configuration ends with one line that says what is wrong.
+// The program exits with one line that names the error if it is started with a bad configuration.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace {
 
 struct BadValue {
-  const char* pointer;  // of the field in the configuration
+  const char* pointer;  // JSON pointer to the field in the configuration
   nlohmann::json value;
   const char* error;  // part of the expected line
 };
@@ -42,14 +42,14 @@
   return kValues;
 }
 
-// The program ends with status 1 and exactly one line.
+// Checks that the program opens no listener, logs exactly one line and exits with status 1.
 void ExpectStartFailure(DaemonUnderTest* daemon) {
   CHECK(daemon->ports().empty());
   CHECK(daemon->WaitForExit() == 1);
   CHECK(std::count(daemon->log().begin(), daemon->log().end(), '\n') == 1);
 }
 
-TEST_CASE("a bad configuration ends the program with one line that names the field") {
+TEST_CASE("with a bad configuration the program exits with one line that names the field") {
   for (const BadValue& bad : BadValues()) {
     CAPTURE(bad.pointer);
     nlohmann::json config = ConfigWithoutDiscovery();
--- a/tests/daemon/lifecycle_test.cpp
+++ b/tests/daemon/lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The reload (SIGHUP) and graceful shutdown (SIGTERM) of the program.
+// Tests of the program's reload (SIGHUP), graceful shutdown (SIGTERM) and limit on client connections.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -23,7 +23,7 @@
   CHECK(daemon->WaitForExit() == 0);
 }
 
-// ---- Steps for tools::Player ----
+// ---- Script steps for tools::Player ----
 
 // A client connects and sends a request.
 std::string SendRequest(const std::string& client, const std::string& job_class, const std::string& id) {
@@ -50,11 +50,11 @@
          ",\"full\":true,\"servers\":[{\"id\":\"" + id + "\",\"addr\":\"{" + listener +
          "}\",\"zone\":\"quilicura\",\"state\":\"SERVING\"}]}\n";
 }
-// Discovery is polled.
+// Discovery receives a poll.
 std::string ExpectPoll(const std::string& discovery, const std::string& query) {
   return "expect " + discovery + "\n| GET /api/targets" + query + " HTTP/1.1\n| Host: {*}\n|\n";
 }
-// A client gets the result.
+// A client receives the result.
 std::string ExpectServed(const std::string& client) { return "expect " + client + "\n| HTTP/1.1 200 OK\n"; }
 std::string ExpectRejected(const std::string& client) {
   return "expect " + client + "\n| HTTP/1.1 503 Service Unavailable\n";
@@ -63,7 +63,7 @@
 // ---- Reload ----
 
 TEST_CASE(
-    "on SIGHUP the configuration is read again: discovery moves, classes change, jobs in flight go on") {
+    "on SIGHUP the configuration is read again: discovery moves, classes change, in-flight jobs continue") {
   tools::Player player({});
   nlohmann::json config = ConfigWithoutDiscovery();
   config["discovery"] = LoopbackAddress(player.Listen("d1"));
@@ -88,11 +88,11 @@
   CHECK(player.Play("accept e d2\n" + ExpectPoll("e", "") + SendRequest("b", "nueva", "r2") +
                     "accept y w1\n" + ExpectAttempt("y", "nueva", "r2") + SendResult("x", "r1") +
                     ExpectServed("a") + SendResult("y", "r2") + ExpectServed("b")) == "");
-  // Until then the old discovery's updates still count: its worker is replaced.
+  // Updates from the old discovery still apply until the new one answers; this one replaces its worker.
   CHECK(player.Play(SendEndpointList("d", 41, "s-3", "w2") + ExpectPoll("d", "?index=41&wait={*}") +
                     SendRequest("f", "cobro", "r4") + "accept v w2\n" + ExpectAttempt("v", "cobro", "r4") +
                     SendResult("v", "r4") + ExpectServed("f")) == "");
-  // With the new discovery's list the old one's is dropped, and its watch ends.
+  // The new discovery's list replaces the old one's, whose watch ends.
   CHECK(player.Play(SendEndpointList("e", 3, "s-2", "w1") + ExpectPoll("e", "?index=3&wait={*}") +
                     "expect-end d\n" + SendRequest("c", "cobro", "r3") + "accept z w1\n" +
                     ExpectAttempt("z", "cobro", "r3") + SendResult("z", "r3") + ExpectServed("c")) == "");
@@ -101,7 +101,7 @@
   CHECK(daemon.WaitForExit() == 0);
 }
 
-TEST_CASE("on SIGHUP a bad configuration is one log line, and the previous one stays in force") {
+TEST_CASE("on SIGHUP a bad configuration is logged in one line, and the previous one stays in force") {
   DaemonUnderTest daemon(ConfigWithoutDiscovery(), kNoOperatorSettings);
   for (const char* bad : {"{\"listen\":", "[]", "{\"listen\":\"localhost\"}"}) {
     daemon.WriteConfig(bad, kNoOperatorSettings);
@@ -113,8 +113,8 @@
   EndDaemon(&daemon);
 }
 
-// A reload that is missed would leave the program with an address of discovery that has ended.
-TEST_CASE("on SIGHUP a configuration that cannot be read is one log line, and is read once it can be") {
+// If the program missed a reload, it would keep an old address at which discovery no longer answers.
+TEST_CASE("on SIGHUP an unreadable configuration is logged in one line, and is applied once it is readable") {
   nlohmann::json config = ConfigWithoutDiscovery();
   DaemonUnderTest daemon(config, kNoOperatorSettings);
   daemon.MakeConfigUnreadable();
@@ -131,7 +131,7 @@
 
 // ---- Unknown fields and classes ----
 
-TEST_CASE("unknown fields of the platform's configuration are one log line, and the program serves") {
+TEST_CASE("unknown fields of the platform's configuration are logged in one line, and the program serves") {
   nlohmann::json config = ConfigWithoutDiscovery();
   config["settings"]["rules"]["fal"] = 3000000;
   config["region"] = "sur";
@@ -169,13 +169,13 @@
 
 // ---- The log of rejected requests ----
 
-// A request whose deadline has no unit, and the rejection of it.
+// A client sends a request whose deadline has no unit, and receives the rejection.
 std::string RequestWithBadDeadline(const std::string& client) {
   return "connect " + client + " http\nsend " + client + "\n| POST /cobro HTTP/1.1\n| Req-Id: " + client +
          "\n| Req-Deadline: 10\n| Content-Length: 0\n|\nexpect " + client + "\n| HTTP/1.1 400 Bad Request\n";
 }
 
-TEST_CASE("requests that the frontend rejects are logged: warnings by reason, and each at level debug") {
+TEST_CASE("requests that the frontend rejects are logged: warnings by reason, and each one at level debug") {
   DaemonUnderTest daemon(ConfigWithoutDiscovery(), {{"logging", {{"level", "debug"}}}});
   tools::Player player({{"http", daemon.ports().at("http")}});
   const std::vector<std::string> ids = {"b1", "b2", "b3"};
@@ -199,7 +199,7 @@
 
 // ---- Graceful shutdown ----
 
-TEST_CASE("on SIGTERM requests in flight and new ones are answered, then the program ends with 0") {
+TEST_CASE("on SIGTERM requests in flight and new ones are answered, then the program exits with status 0") {
   tools::Player player({});
   nlohmann::json config = ConfigWithoutDiscovery();
   config["known"]["servers"] = {KnownServer("s-1", player.Listen("w1"))};
@@ -215,9 +215,10 @@
   CHECK(player.Play(SendRequest("c", "cobro", "r1") + "accept x w1\n" + ExpectAttempt("x", "cobro", "r1")) ==
         "");
   daemon.Signal(SIGTERM);
-  // The connection without a request is closed; those with one are answered first, also a new one.
+  // The connection without a request is closed. Connections with a request, including a new one, are closed
+  // after the answer.
   CHECK(player.Play("expect-end idle\n") == "");
-  daemon.Suspend();  // so that it cannot end before the new request is there, on a slow machine
+  daemon.Suspend();  // so that it cannot exit before the new request arrives, even on a slow machine
   CHECK(player.Play(SendResult("x", "r1") + SendRequest("n", "cobro", "r2")) == "");
   daemon.Signal(SIGCONT);
   CHECK(player.Play("expect c\n" + served_and_closed + "expect-end c\naccept y w1\n" +
@@ -233,23 +234,23 @@
     "| HELLO {\"v\":2,\"wid\":\"w1\",\"hostname\":\"h\",\"pid\":1,"
     "\"labels\":[\"zone:quilicura\",\"kind:tipo-grande\"]}\n";
 
-// The push of a job, without its line's mark and end.
+// Returns the command that pushes a job, without the script's line prefix and without a line end.
 std::string PushCommand(const std::string& job_id, const std::string& job_class) {
   return "PUSH {\"jid\":\"" + job_id + "\",\"jobtype\":\"" + job_class +
          "\",\"args\":[],\"custom\":{\"tenant\":\"hogar-del-sur\"}}";
 }
 std::string PushLine(const std::string& job_id) { return "| " + PushCommand(job_id, "cobro") + "\n"; }
-// The job as a worker fetches it.
+// Returns the reply in which a worker receives the job.
 std::string FetchedJob(const std::string& job_id) {
   return "| ${*}\n| {\"args\":[],\"custom\":{{*}},\"jid\":\"" + job_id + "\",\"jobtype\":\"cobro\",{*}}\n";
 }
 std::string AckLine(const std::string& job_id) { return "| ACK {\"jid\":\"" + job_id + "\"}\n"; }
 
-TEST_CASE("on SIGTERM producers' sessions close between commands; workers stay until the last job is done") {
+TEST_CASE("on SIGTERM producers' sessions close between commands, and workers' sessions after the last job") {
   tools::Player player({});
   const nlohmann::json settings = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/aldersill.json");
   DaemonUnderTest daemon(ConfigWithoutDiscovery(), settings,
-                         "ALDERSILL_FRONTS");  // the variable's older name
+                         "ALDERSILL_FRONTS");  // the former name of the environment variable
   player.AddDaemonListener("faktory", daemon.ports().at("faktory"));
   CHECK(player.Play("connect w faktory\nsend w\n" + kWorkerHello + "| FETCH default\nexpect w\n" + kGreeting +
                     "connect idle faktory\nsend idle\n" + kProducerHello + "expect idle\n" + kGreeting +
@@ -257,7 +258,7 @@
                     FetchedJob("j1")) == "");
   daemon.Signal(SIGTERM);
   CHECK(player.Play("expect-end idle\n") == "");
-  daemon.Suspend();  // so that it cannot end before the new session is there, on a slow machine
+  daemon.Suspend();  // so that it cannot exit before the new session arrives, even on a slow machine
   CHECK(player.Play("send w\n" + AckLine("j1") + "| FETCH default\nconnect n faktory\nsend n\n" +
                     kProducerHello + PushLine("j2")) == "");
   daemon.Signal(SIGCONT);
@@ -267,8 +268,8 @@
   CHECK(daemon.WaitForExit() == 0);
 }
 
-// Pushes jobs on one session until the daemon closes it, and sends SIGTERM after `pushes_before` replies. The
-// number of replies.
+// Pushes jobs on one session until the daemon closes it, and sends SIGTERM after `pushes_before` replies.
+// Returns the number of replies.
 int PushUntilClosed(DaemonUnderTest* daemon, tools::FaktorySession* producer, int pushes_before) {
   int replies = 0;
   try {
@@ -277,18 +278,18 @@
       if (++replies == pushes_before)
         daemon->Signal(SIGTERM);
     }
-  } catch (const std::runtime_error&) {  // the connection ended
+  } catch (const std::runtime_error&) {  // the daemon has closed the connection
   }
   return replies;
 }
 
-TEST_CASE("on SIGTERM a producer that pushes without a pause does not keep the daemon from ending") {
+TEST_CASE("on SIGTERM a producer that pushes without a pause does not keep the daemon from exiting") {
   nlohmann::json config = ConfigWithoutDiscovery();
   RaiseTenantQuotas(&config);
   DaemonUnderTest daemon(config, ReadJson(std::string(ALDERSILL_EXCHANGES) + "/aldersill.json"));
   const std::uint16_t port = daemon.ports().at("faktory");
   tools::FaktorySlot worker(port, "w1", [](const std::string&, const std::string&) {
-    // A running time, so that there is hardly ever no job in flight.
+    // The job takes some time, so that a job is in flight almost always.
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
     return tools::JobOutcome::kDone;
   });
@@ -298,8 +299,8 @@
   constexpr int kPushesBefore = 3;
   const int replies = PushUntilClosed(&daemon, &producer, kPushesBefore);
   CHECK(replies >= kPushesBefore);
-  // A push that arrives while the session closes is still served, so there may be some more replies. There
-  // were hundreds before producers' sessions were closed between commands.
+  // A push that arrives while the session closes is still served, so a few more replies are allowed. There
+  // were hundreds when the daemon did not close producers' sessions between commands.
   CHECK(replies <= kPushesBefore + 50);
   CHECK(daemon.WaitForExit() == 0);
 }
@@ -311,7 +312,7 @@
   REQUIRE(send(client.fd(), request.data(), request.size(), 0) == static_cast<ssize_t>(request.size()));
 }
 
-// Waits for the first byte of an answer; false if the connection ends instead.
+// Waits for the first byte of an answer. Returns false if the connection ends instead.
 bool ReceivesAnswer(const tools::Socket& client) {
   char first = 0;
   return recv(client.fd(), &first, 1, 0) == 1;
@@ -327,10 +328,10 @@
     clients->push_back(tools::ConnectTo(daemon.ports().at("http")));
 }
 
-TEST_CASE("clients never take the descriptors that worker connections need; those over the limit wait") {
+TEST_CASE("clients never use the descriptors that worker connections need; clients over the limit wait") {
   nlohmann::json config = ConfigWithoutDiscovery();
   config["limits"]["sockets"] = 64;
-  // Half of what the daemon's own descriptors leave; the other half is for worker connections.
+  // Half of the descriptors that the daemon does not need itself. The other half is for worker connections.
   constexpr int kMaxClients = (64 - 40) / 2;
   DaemonUnderTest daemon(config, kNoOperatorSettings);
   const auto descriptors_before = OpenDescriptors(daemon);
@@ -340,8 +341,8 @@
     SendReadyRequest(client);
     REQUIRE(ReceivesAnswer(client));
   }
-  // When it continues it finds requests first and then new connections, which it accepts with its answers
-  // half written.
+  // When the daemon continues, it finds the requests first and then the new connections, which it accepts
+  // before its answers are completely written.
   daemon.Suspend();
   for (const tools::Socket& client : clients)
     SendReadyRequest(client);
@@ -349,7 +350,7 @@
   for (std::size_t i = kMaxClients - 1; i < clients.size(); ++i)
     SendReadyRequest(clients[i]);
   daemon.Signal(SIGCONT);
-  // Each is answered in its turn, as those before it leave.
+  // Each client is answered once clients before it have disconnected.
   for (tools::Socket& client : clients) {
     REQUIRE(ReceivesAnswer(client));
     CHECK(OpenDescriptors(daemon) <= descriptors_before + kMaxClients);
--- a/tests/daemon/platform_config.h
+++ b/tests/daemon/platform_config.h
@@ -10,30 +10,31 @@
 
 namespace aldersill::tests {
 
-// The tenant of which all requests in these tests are.
+// The tenant of all requests in these tests.
 inline constexpr const char* kTenant = "hogar-del-sur";
 
 inline std::string LoopbackAddress(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// The configuration of the recorded exchanges, without discovery: the known workers are the only ones.
+// Returns the configuration of the recorded exchanges without discovery, so that its known workers are the
+// only ones.
 inline nlohmann::json ConfigWithoutDiscovery() {
   nlohmann::json config = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
   config.erase("discovery");
   return config;
 }
 
-// A ready worker as the configuration's list of known servers has it.
+// Returns a ready worker as an entry of the configuration's list of known servers.
 inline nlohmann::json KnownServer(const std::string& id, std::uint16_t port) {
   return {{"id", id}, {"addr", LoopbackAddress(port)}, {"zone", "quilicura"}, {"state", "SERVING"}};
 }
 
-// So that no request of a test waits for its tenant's tokens.
+// Raises all tenants' quotas, so that no request of a test waits for its tenant's tokens.
 inline void RaiseTenantQuotas(nlohmann::json* config) {
   for (auto& tenant : (*config)["settings"]["tenants"])
     tenant["quotaPerS"] = 1000.0;
 }
 
-// No settings of the operator's own.
+// An operator's file without settings.
 inline const nlohmann::json kNoOperatorSettings = nlohmann::json::object();
 
 }  // namespace aldersill::tests
--- a/tests/daemon/reason_log_test.cpp
+++ b/tests/daemon/reason_log_test.cpp
@@ -1,5 +1,5 @@
-// What the log says at level info of attempts and requests that fail, and that it does not lose other lines
-// for it.
+// The log lines at level info about attempts and requests that fail. They name the reason, and their number
+// does not suppress other log lines.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -9,7 +9,8 @@
 namespace aldersill::tests {
 namespace {
 
-// A request whose attempt is reset once its worker has it: it may have run, and fails.
+// Sends a request and resets its attempt's connection after the worker has received it. The job may have run,
+// so the request fails.
 void FailRequest(const ClientScenario& scenario, const std::string& id) {
   const Socket client = scenario.Connect();
   REQUIRE(Send(client, Request(id)));
@@ -25,14 +26,14 @@
   CHECK(scenario.daemon->WaitForLogLine(" id=r1 result=failed"));
 }
 
-TEST_CASE("an attempt that is stopped is logged with the reason, and so is a close by this side") {
+TEST_CASE("a stopped attempt and a connection that the daemon closes are logged with their reasons") {
   ClientScenario scenario;
   const Socket idle = scenario.Connect(), client = scenario.Connect();
   REQUIRE(Send(idle, kReadyRequest));
   Receive(idle, "ready\n");
   REQUIRE(Send(client, Request("r1", "", 300)));
   const Socket attempt = scenario.AcceptAttempt("r1");
-  // The dispatch module ends the request in time for its client, and then gives the attempt up.
+  // The decision module rejects the request before its client's deadline, and then cancels the attempt.
   CHECK(scenario.daemon->WaitForLogLine(" id=r1 result=deadline_exceeded"));
   CHECK(scenario.daemon->WaitForLogLine("attempt_stopped attempt=1 why=dispatch_module"));
   scenario.daemon->Signal(SIGTERM);
@@ -40,7 +41,7 @@
   CHECK(scenario.daemon->WaitForLogLine("client_connection_closed client=0 why=drain"));
 }
 
-TEST_CASE("requests that fail do not crowd out the lines about the process") {
+TEST_CASE("many failed requests do not suppress the log lines about the process") {
   ClientScenario scenario;
   const nlohmann::json few_lines = {{"logging", {{"lines_per_second", 1}, {"burst", 20}}}};
   scenario.daemon.emplace(scenario.config, few_lines);
--- a/tests/daemon/upgrade_test.cpp
+++ b/tests/daemon/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Upgrades of a running dispatcher: the files and messages that its processes share, received jobs in the
-// core, and started daemons that follow one another on one endpoint.
+// Tests of the upgrade of a running dispatcher: the files and messages that its processes share, received
+// jobs in the core, and daemons that replace one another on one endpoint.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -30,7 +30,7 @@
 
 // ---- Files and messages ----
 
-TEST_CASE("a ban list decodes to what was encoded; incomplete and foreign text is rejected") {
+TEST_CASE("a ban list decodes to what was encoded; incomplete text and other formats are rejected") {
   const upgrade::BanList bans{"s-1", "s-2"};
   const std::string text = upgrade::EncodeBans(bans);
   CHECK(upgrade::DecodeBans(text) == bans);
@@ -41,7 +41,7 @@
     CHECK(!upgrade::DecodeBans(foreign));
 }
 
-TEST_CASE("members of a group see each other while they run, and share one ban list") {
+TEST_CASE("members of a group count each other while they run, and share one ban list") {
   const TemporaryDirectory directory;
   ProcessGroup first(directory.path(), 1);
   CHECK(first.Others().count() == 0);
@@ -67,9 +67,7 @@
   CHECK(!first.ReadBans());
 }
 
-TEST_CASE(
-    "a transferred job decodes to what was encoded, whatever bytes it holds; incomplete messages are "
-    "rejected") {
+TEST_CASE("a transferred job with any bytes decodes to what was encoded; incomplete messages are rejected") {
   upgrade::TransferredJob sent;
   sent.job.id = "r1";
   sent.job.job_class = "cobro";
@@ -109,7 +107,7 @@
   return received;
 }
 
-// The one effect of this type among `effects`.
+// Returns the only effect of type T in `effects`. Fails the test if there is none or more than one.
 template <typename T>
 T OnlyEffect(const std::vector<Effect>& effects) {
   std::optional<T> found;
@@ -123,7 +121,8 @@
   return *found;
 }
 
-// How a received job is answered whose attempt ends with `outcome`. `may_have_run`: by an attempt before.
+// Returns the answer to a received job whose attempt ends with `outcome`. `may_have_run`: whether an earlier
+// attempt may have run the job.
 FinalAnswer AnswerToReceivedJob(dispatch::Repeat repeat, Outcome outcome, bool may_have_run = false) {
   Reducer reducer(SettingsOfOneClass(repeat));
   std::vector<Effect> effects;
@@ -137,7 +136,7 @@
   return OnlyEffect<Answer>(effects).answer;
 }
 
-TEST_CASE("a received job is answered once, and rejected only where its class allows that") {
+TEST_CASE("a received job is answered once, and rejected only if it cannot have run or may be repeated") {
   using dispatch::Repeat;
   for (const Repeat repeat : {Repeat::kRepeatable, Repeat::kKeyed, Repeat::kUnsafe}) {
     const bool unsafe = repeat == Repeat::kUnsafe;
@@ -154,7 +153,7 @@
 constexpr const char* kRejected = "HTTP/1.1 503 Service Unavailable";
 constexpr std::chrono::seconds kTimeout{15};
 
-// A worker whose jobs do not complete before CompleteJobs.
+// A worker whose jobs do not complete until CompleteJobs is called.
 class BlockedWorker {
  public:
   BlockedWorker()
@@ -163,13 +162,13 @@
   ~BlockedWorker() { CompleteJobs(); }
 
   std::uint16_t port() const { return server_.port(); }
-  // Completes all jobs, also those that come later.
+  // Completes all running jobs, and later jobs as they arrive.
   void CompleteJobs() {
     const std::lock_guard lock(mutex_);
     blocked_ = false;
     changed_.notify_all();
   }
-  // Waits until the job runs here.
+  // Waits until the worker has started the job.
   void AwaitRun(const std::string& id) {
     std::unique_lock lock(mutex_);
     REQUIRE(changed_.wait_for(lock, kTimeout, [&] { return started_.contains(id); }));
@@ -190,8 +189,8 @@
   tools::HttpServer server_;
 };
 
-// A port that is kept for this test while daemons come and go on it: bound, but not listened on, and open to
-// other sockets of this user.
+// Reserves a port for this test while daemons start and exit on it. The socket is bound with SO_REUSEPORT but
+// does not listen, so other sockets of this user can listen on the port.
 Socket ReservePort() {
   Socket reserved(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const int on = 1;
@@ -202,7 +201,7 @@
   return reserved;
 }
 
-// The answer to one operators' command.
+// Sends a command to the daemon's management address and returns the answer.
 std::string Command(const DaemonUnderTest& daemon, const std::string& line) {
   tools::Wire wire(tools::ConnectTo(daemon.ports().at("mgmt")));
   wire.Write(line + "\n");
@@ -210,7 +209,7 @@
   try {
     while (true)
       answer += wire.ReadLine() + "\n";
-  } catch (const std::exception&) {  // the end of the stream
+  } catch (const std::exception&) {  // ReadLine throws at the end of the stream
   }
   return answer;
 }
@@ -222,7 +221,7 @@
     REQUIRE(std::chrono::steady_clock::now() < deadline);
 }
 
-// One dispatcher's endpoint and worker, for processes that follow one another.
+// The endpoint, the worker and the configuration of a dispatcher whose processes replace one another.
 class Dispatcher {
  public:
   Dispatcher() : reserved_(ReservePort()) {
@@ -240,14 +239,14 @@
     REQUIRE(daemon->ports().contains("mgmt"));
     return daemon;
   }
-  // A process beside those that run, once it takes clients.
+  // Starts another process and returns it once it accepts clients.
   std::unique_ptr<DaemonUnderTest> StartReadyProcess() const {
     auto daemon = StartProcess();
     AwaitAnswer(*daemon, "HEALTH", "OK");
     return daemon;
   }
   std::uint16_t port() const { return tools::PortOf(reserved_); }
-  // The status line of the answer to a client's request on a connection of its own.
+  // Sends a request on a new connection and returns the answer's status line.
   std::string Request(const std::string& id, int deadline_ms = 20'000) const {
     tools::Wire wire(tools::ConnectTo(port()));
     return tools::Post(&wire, "promesa", id, kTenant, deadline_ms, "x").start;
@@ -261,13 +260,13 @@
   const Socket reserved_;
 };
 
-TEST_CASE("a job in flight at an upgrade is answered by the next process, on its client's connection") {
+TEST_CASE("an in-flight job at an upgrade is answered by the next process, on its client's connection") {
   Dispatcher dispatcher;
   const auto old = dispatcher.StartProcess();
   tools::Wire client(tools::ConnectTo(dispatcher.port()));
   std::thread requests([&] {
     CHECK(tools::Post(&client, "cobro", "r1", kTenant, 20'000, "x").body == "ran r1");
-    // The connection stays open, with the process that has it now.
+    // The connection stays open, and the next process serves it.
     CHECK(tools::Post(&client, "promesa", "r2", kTenant, 20'000, "x").start == kServed);
   });
   dispatcher.worker.AwaitRun("r1");
@@ -280,7 +279,7 @@
   CHECK(Command(*next, "DUMP").find("app.success.cobro:1|c") != std::string::npos);
 }
 
-TEST_CASE("no new connection is refused or reset while one process follows another") {
+TEST_CASE("no new connection is refused or reset while one process replaces another") {
   Dispatcher dispatcher;
   dispatcher.worker.CompleteJobs();
   auto current = dispatcher.StartProcess();
@@ -296,7 +295,7 @@
   CHECK(requests > 100);
 }
 
-TEST_CASE("a process that cannot start leaves the running one serving") {
+TEST_CASE("a process that cannot start does not disturb the one that serves clients") {
   Dispatcher dispatcher;
   dispatcher.worker.CompleteJobs();
   const auto running = dispatcher.StartProcess();
@@ -307,7 +306,8 @@
   CHECK(dispatcher.Request("r1") == kServed);
 }
 
-TEST_CASE("a ban holds in both processes, and in the next one after its predecessor's end, until lifted") {
+TEST_CASE(
+    "a ban applies in both processes, and in the next one after its predecessor has exited, until lifted") {
   Dispatcher dispatcher;
   dispatcher.worker.CompleteJobs();
   const auto old = dispatcher.StartProcess();
