--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -83,7 +83,7 @@
   // One overload for each action of a decision module.
   void Perform(const dispatch::Send& send) { attempts_.Start(send); }
   void Perform(const dispatch::Cancel& cancel) { attempts_.Cancel(cancel); }
-  void Perform(const dispatch::Reject& refusal) { lifecycle_.Reject(refusal); }
+  void Perform(const dispatch::Reject& rejection) { lifecycle_.Reject(rejection); }
   void Perform(const dispatch::Fail& failure) { lifecycle_.Fail(failure); }
   void Perform(const dispatch::SetTimer& timer);
   void Perform(const dispatch::Probe& probe);
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -105,19 +105,19 @@
   attempts_.ReleaseIfAnswered(*id);
 }
 
-void RequestLifecycle::Reject(const dispatch::Reject& refusal) {
+void RequestLifecycle::Reject(const dispatch::Reject& rejection) {
   // Every rejection carries a Retry-After. If the decision module gives none, it is the longest time that
   // clients honour.
   const Micros retry_after =
-      refusal.retry_after > 0 ? refusal.retry_after : env_.context.settings.dispatcher.max_retry_after;
-  const Request* request = env_.requests.Find(refusal.request);
-  Rejection rejection{.reason = Rejection::Reason::kNothingSent, .retry_after = retry_after};
+      rejection.retry_after > 0 ? rejection.retry_after : env_.context.settings.dispatcher.max_retry_after;
+  const Request* request = env_.requests.Find(rejection.request);
+  Rejection answer{.reason = Rejection::Reason::kNothingSent, .retry_after = retry_after};
   if (request != nullptr && !request->attempts.empty())
-    rejection.reason = Rejection::Reason::kAfterAttempts;
+    answer.reason = Rejection::Reason::kAfterAttempts;
   else if (env_.context.counters.ready_workers == 0)
-    rejection.reason = Rejection::Reason::kNoWorker;
-  env_.requests.Answer(refusal.request, rejection);
-  attempts_.ReleaseIfAnswered(refusal.request);
+    answer.reason = Rejection::Reason::kNoWorker;
+  env_.requests.Answer(rejection.request, answer);
+  attempts_.ReleaseIfAnswered(rejection.request);
 }
 
 void RequestLifecycle::Fail(const dispatch::Fail& failure) {
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -22,7 +22,7 @@
   void Apply(const ClientLeft& left);
 
   // The decision module's final answers. Both ignore a request that has ended.
-  void Reject(const dispatch::Reject& refusal);
+  void Reject(const dispatch::Reject& rejection);
   void Fail(const dispatch::Fail& failure);
 
  private:
--- a/src/dispatch/cancellation.h
+++ b/src/dispatch/cancellation.h
@@ -1,5 +1,5 @@
-// Cancels attempts whose outcome is no longer needed: those beside a hedged request's first one to start, and
-// all of a request that has ended.
+// Cancels attempts whose outcome is no longer needed: the other attempts of a hedged request once one has
+// started, and all attempts of a request that has ended.
 #ifndef ALDERSILL_SRC_DISPATCH_CANCELLATION_H_
 #define ALDERSILL_SRC_DISPATCH_CANCELLATION_H_
 
@@ -11,13 +11,14 @@
 
 namespace aldersill::dispatch {
 
-// Emits a Cancel for one attempt, at most once.
+// Emits a Cancel for the attempt unless one has been emitted before.
 inline void CancelAttempt(Context& context, Request* request, std::size_t attempt_number) {
   if (!std::exchange(request->attempts[attempt_number].cancelled, true))
     context.Emit(Cancel{request->id, static_cast<int>(attempt_number)});
 }
 
-// Cancels the open attempts except `keep` (null: none), where the settings allow it.
+// Cancels all open attempts of the request except `keep`, which may be null. Does nothing if the settings do
+// not allow cancellation.
 inline void CancelOpenAttempts(Context& context, Request* request, const Attempt* keep) {
   if (!context.settings().cancel)
     return;
--- a/src/dispatch/constants.h
+++ b/src/dispatch/constants.h
@@ -7,13 +7,14 @@
 namespace aldersill::dispatch {
 
 inline constexpr double kSecond = 1e6;  // in microseconds
-// Weight of a new sample in averages over all workers: about the last 20 samples count.
+// Weight of a new sample in averages over all workers, in which about the last 20 samples count.
 inline constexpr double kPooledSampleWeight = 0.05;
 // Weight of a new sample in an average over one worker, of which a node sees few.
 inline constexpr double kWorkerSampleWeight = 0.25;
-// Workers compared per pool: the cost of a choice does not grow with the fleet.
+// Number of workers compared per pool. It is constant so that the cost of a choice does not grow with the
+// fleet.
 inline constexpr std::size_t kSampledWorkers = 2;
-// In place of a worker's index: none.
+// Stands for "no worker" where an index of a worker is expected.
 inline constexpr int kNoWorker = -1;
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/context.h
+++ b/src/dispatch/context.h
@@ -1,5 +1,5 @@
 // What every module of a dispatcher needs to handle one event: the settings, the time, random draws and the
-// list that takes the actions. Owned by the dispatcher; the modules hold references to it.
+// list that takes the actions. The dispatcher owns it and the modules hold references to it.
 #ifndef ALDERSILL_SRC_DISPATCH_CONTEXT_H_
 #define ALDERSILL_SRC_DISPATCH_CONTEXT_H_
 
@@ -16,21 +16,23 @@
 
 namespace aldersill::dispatch {
 
-// What a timer is for; the upper byte of its token. The rest of the token is the request's id, or 0.
+// What a timer is for. It is the upper byte of the timer's token; the rest is the request's id, or 0.
 enum class TimerKind : std::uint64_t {
-  kTokenIssue,     // the next token falls due while jobs are buffered
+  kTokenIssue,     // the next token becomes due while jobs are buffered
   kDeadline,       // a request's client stops waiting
   kListPoll,       // the endpoint list must be requested
   kAnswerOverdue,  // a worker should have answered an attempt of the request
 };
 
+// The settings, time, random source and action list that the modules share while an event is handled.
 class Context {
  public:
-  // Throws std::invalid_argument that names the first invalid setting.
+  // Throws std::invalid_argument with a message that names the first invalid setting.
   Context(Settings settings, std::uint64_t seed)
       : settings_(ValidatedSettings(std::move(settings))), random_(seed) {}
 
-  // Starts the handling of an event. A time earlier than that of the event before is replaced by the latter.
+  // Starts the handling of an event at `now`; `actions` takes its actions. The time never goes back: if `now`
+  // is earlier than the time of the previous event, that time is used instead.
   void BeginEvent(Micros now, std::vector<Action>* actions) {
     now_ = std::max(now_, now);
     actions_ = actions;
@@ -43,6 +45,7 @@
   double Since(Micros then) const { return static_cast<double>(now_ - then); }
 
   void Emit(Action action) { actions_->push_back(std::move(action)); }
+  // Emits a SetTimer with a delay of at least one microsecond.
   void StartTimer(Micros delay, TimerKind kind, RequestId request = {}) {
     const std::uint64_t token =
         (static_cast<std::uint64_t>(kind) << kTimerKindShift) | static_cast<std::uint64_t>(request);
@@ -55,7 +58,7 @@
     return RequestId{timer.token & ((std::uint64_t{1} << kTimerKindShift) - 1)};
   }
 
-  // Emits at most one line in ten seconds and drops the others, so that an outage does not flood the log.
+  // Emits at most one log line in ten seconds and drops the others, so that an outage does not flood the log.
   void LogRateLimited(std::string text) {
     if (now_ < next_log_at_)
       return;
@@ -64,7 +67,7 @@
   }
 
  private:
-  static constexpr int kTimerKindShift = 56;
+  static constexpr int kTimerKindShift = 56;  // in bits, within a timer's token
 
   const Settings settings_;
   Random random_;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,5 +1,5 @@
-// The dispatcher: passes each event to the modules that decide on it, in a fixed order, and follows each
-// request from its arrival to its final answer. docs/design.md lists the modules.
+// Implementation of Dispatcher: passes each event to the modules that decide on it, in a fixed order, and
+// tracks each request from its arrival to its final answer. docs/design.md lists the modules.
 #include "aldersill/dispatch/dispatcher.h"
 
 #include <cstddef>
@@ -53,7 +53,7 @@
   void RejectOverdueJobs(int tenant);
   void ProbeForReport();
 
-  static constexpr int kUnknownClass = -1;
+  static constexpr int kUnknownClass = -1;  // stands for the index of a class that the settings lack
 
   Context context_;
   NameIndex class_names_;
@@ -71,7 +71,7 @@
   UnresponsiveWorkers unresponsive_workers_;
   WorkerSelection selection_;
   EndpointListPolling list_polling_;
-  bool has_begun_ = false;
+  bool has_begun_ = false;  // whether the first event has been handled
 };
 
 Dispatcher::Impl::Impl(Settings settings, std::uint64_t seed)
@@ -94,9 +94,9 @@
 
 void Dispatcher::Impl::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
   context_.BeginEvent(now, actions);
-  // An event is applied before the tokens that fell due up to its time, because those tokens release buffered
-  // jobs whose client or worker the event may report as gone. An arrival is applied last, after the jobs that
-  // were buffered before it.
+  // An event is applied before the tokens that became due up to its time are issued, because these tokens
+  // release buffered jobs, and the event may report that the client of such a job or a worker is gone. An
+  // arrival is applied last, after the jobs that were buffered before it.
   const auto* arrival = std::get_if<Arrival>(&event);
   if (arrival == nullptr)
     std::visit([this](const auto& fields) { Apply(fields); }, event);
@@ -110,6 +110,8 @@
   throttle_.ScheduleWakeUp();
 }
 
+// Initializes the modules whose state depends on the time of the first event or on the worker list that it
+// may carry.
 void Dispatcher::Impl::Begin() {
   has_begun_ = true;
   slow_start_.Begin();
@@ -118,18 +120,20 @@
   list_polling_.Begin();
 }
 
+// Issues the tokens that are due and sends the buffered jobs that they pay for.
 void Dispatcher::Impl::IssueDueTokens() {
   throttle_.ForgetOldTokens();
   while (throttle_.IsTokenDue()) {
-    Request* paid = throttle_.IssueToken();
-    if (paid != nullptr)
-      SendAttempt(paid);
+    Request* paid_request = throttle_.IssueToken();
+    if (paid_request != nullptr)
+      SendAttempt(paid_request);
   }
 }
 
+// Rejects the tenant's jobs that have been buffered for too long.
 void Dispatcher::Impl::RejectOverdueJobs(int tenant) {
-  // Finish removes the job from the buffer, and its tokens may pay for jobs ahead of it, which leave the
-  // buffer too.
+  // Finish removes the job from the buffer. The tokens paid for it may then pay for jobs ahead of it, which
+  // leave the buffer too.
   const auto& buffered = throttle_.buffered(tenant);
   for (std::size_t i = buffered.size(); i-- > 0;) {
     if (i >= buffered.size())
@@ -163,6 +167,7 @@
   Admit(&request);
 }
 
+// Sends, buffers or rejects a request that has just arrived.
 void Dispatcher::Impl::Admit(Request* request) {
   request->price = pricing_.PriceArrival(*request);
   rate_.RecordArrival(request->price);
@@ -191,6 +196,8 @@
   unresponsive_workers_.WatchAttempt(*request);
 }
 
+// Gives the request its final answer unless it has one or its client is gone, cancels its open attempts, and
+// erases it unless outcomes of attempts are still to come.
 void Dispatcher::Impl::Finish(Request* request) {
   if (!std::exchange(request->ended, true)) {
     if (IsRejectionSafe(context_.settings(), *request))
@@ -198,15 +205,15 @@
     else
       context_.Emit(Fail{.request = request->id});
   }
-  // Tokens already paid for a buffered job go to the jobs behind it.
-  for (int paid = throttle_.RemoveFromBuffer(*request); paid > 0; --paid) {
+  // The tokens already paid for a buffered job are used for the tenant's other jobs.
+  for (int paid_tokens = throttle_.RemoveFromBuffer(*request); paid_tokens > 0; --paid_tokens) {
     Request* next = throttle_.AddToken(request->tenant);
     if (next != nullptr)
       SendAttempt(next);
   }
   CancelOpenAttempts(context_, request, nullptr);
   if (!request->HasOpenAttempt())
-    requests_.Erase(request->id);  // otherwise outcomes are still to come
+    requests_.Erase(request->id);
 }
 
 void Dispatcher::Impl::Apply(const StreamStarted& started) {
@@ -245,8 +252,8 @@
     SendNextAttempt(&request, *attempt);
 }
 
-// After an attempt that may have run, the next one must pay again, so that retries of failed attempts cannot
-// add to an overload.
+// Sends the request again after a failed attempt, or finishes it. If that attempt may have run, the price
+// must be paid again, so that retries of failed attempts cannot add to an overload.
 void Dispatcher::Impl::SendNextAttempt(Request* request, const Attempt& failed) {
   if (failed.may_have_run) {
     if (!throttle_.CanPay(*request) || !MayStartAttempt(context_.settings(), *request, context_.now()))
@@ -279,8 +286,9 @@
 
 // ---- Workers ----
 
-// Probes one random worker for each arrival if load reports come only with probes. The price of a probe does
-// not depend on the size of the job. A quarter of the probes go to any zone, the others to the home zone.
+// Probes one random worker for each arrival if workers send load reports only with probes. It is one probe
+// whatever the size of the job, because the price of a probe does not depend on it. A quarter of the probes
+// go to a worker of any zone, the others to one of the home zone.
 void Dispatcher::Impl::ProbeForReport() {
   const bool any_zone = context_.random().Draw(4) == 0;
   const WorkerPool& pool = any_zone ? fleet_.All(-1) : fleet_.InZone(-1, fleet_.home());
@@ -296,7 +304,7 @@
   if (index == kNoWorker || probe.outcome != Outcome::kServed)
     return;
   estimates_.RecordReport(index, probe.report);
-  // The worker answers jobs of other nodes, so this node's jobs wait in its queue.
+  // The worker answers jobs of other nodes, so this node's unanswered jobs are waiting in its queue.
   if (probe.report.served_per_s.value_or(0.0) > 0.0)
     fleet_.worker(index).answered_at = context_.now();
 }
--- a/src/dispatch/endpoint_list_polling.cpp
+++ b/src/dispatch/endpoint_list_polling.cpp
@@ -18,8 +18,8 @@
     return;
   context_.Emit(SubscribeList{});
   // An unanswered call is repeated well before the longest allowed poll interval has passed.
-  const Micros limit = context_.settings().max_list_poll_interval;
-  backoff_ = std::clamp<Micros>(2 * backoff_, limit / 32, limit / 4);
+  const Micros max_interval = context_.settings().max_list_poll_interval;
+  backoff_ = std::clamp<Micros>(2 * backoff_, max_interval / 32, max_interval / 4);
   const double jitter = context_.random().Uniform() * backoff_;
   context_.StartTimer(backoff_ + static_cast<Micros>(jitter), TimerKind::kListPoll);
 }
@@ -35,7 +35,7 @@
 
 void EndpointListPolling::RecordFailure() {
   context_.LogRateLimited("worker list: call or subscription failed");
-  // The jitter keeps nodes that lose their subscriptions together from calling all at once.
+  // The jitter prevents nodes that lose their subscriptions at the same time from all calling at once.
   const double delay = context_.random().Uniform() * context_.settings().max_list_poll_interval / 32;
   if (std::exchange(subscribed_, false))
     context_.StartTimer(static_cast<Micros>(delay), TimerKind::kListPoll);
--- a/src/dispatch/fleet.cpp
+++ b/src/dispatch/fleet.cpp
@@ -9,7 +9,7 @@
 namespace aldersill::dispatch {
 namespace {
 
-// FNV-1a: positions on the ring must be the same on every node, so not std::hash.
+// FNV-1a. std::hash is not used, because positions on the hash ring must be the same on every node.
 std::uint64_t HashName(const std::string& name) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char character : name)
@@ -17,7 +17,8 @@
   return Mix(hash);
 }
 
-// The worker as it is after a restart of its process: this node's open attempts there remain.
+// The record of a worker after a restart of its process. The slots of this node's open attempts there are
+// kept.
 Worker AfterRestart(Worker&& old) {
   Worker fresh;
   fresh.name = std::move(old.name);
@@ -68,7 +69,7 @@
 }
 
 Worker& Fleet::FindOrAdd(const std::string& name) {
-  const auto [found, is_new] = index_.emplace(name, static_cast<int>(workers_.size()));
+  const auto [found, is_new] = worker_names_.emplace(name, static_cast<int>(workers_.size()));
   if (is_new) {
     workers_.emplace_back().name = name;
     workers_.back().ring_position = HashName(name);
@@ -83,7 +84,7 @@
   own_slots_ += slots;
   if (!key || worker.HasRecentKey(*key))
     return;
-  // A worker is assumed to keep the data of one key per slot.
+  // A worker is assumed to keep the data of one key for each of its slots.
   worker.recent_keys.push_front(*key);
   const auto limit = static_cast<std::size_t>(KindOf(worker).slots);
   worker.recent_keys.resize(std::min(worker.recent_keys.size(), limit));
@@ -120,17 +121,18 @@
   return found == pool.end() ? *pool.begin() : *found;
 }
 
+// Fills the pools with the ready workers in the order of their ring positions.
 void Fleet::RebuildPools() {
   all_.assign(kinds_.size(), {});
   by_zone_.assign(kinds_.size(), std::vector<WorkerPool>(zones_.size()));
   by_cell_.clear();
   ready_by_kind_.assign(kinds_.size(), 0);
-  std::vector<int> order;
+  std::vector<int> ring_order;
   for (int i = 0; i < static_cast<int>(workers_.size()); ++i) {
     if (workers_[i].state == WorkerEntry::State::kReady)
-      order.push_back(i);
+      ring_order.push_back(i);
   }
-  std::sort(order.begin(), order.end(), [this](int left, int right) {
+  std::sort(ring_order.begin(), ring_order.end(), [this](int left, int right) {
     return std::tie(workers_[left].ring_position, workers_[left].name) <
            std::tie(workers_[right].ring_position, workers_[right].name);
   });
@@ -139,7 +141,7 @@
     all_[kind].Add(index, worker.weight);
     by_zone_[kind][worker.zone].Add(index, worker.weight);
   };
-  for (const int index : order) {
+  for (const int index : ring_order) {
     const Worker& worker = workers_[index];
     ++ready_by_kind_[worker.kind];
     by_cell_[worker.cell].Add(index, worker.weight);
--- a/src/dispatch/job_pricing.h
+++ b/src/dispatch/job_pricing.h
@@ -1,4 +1,4 @@
-// Decides how many tokens a job pays: the paper's k.
+// Decides the price of a job: the number of tokens that it pays, k in Berger and Whitt's paper (throttle.h).
 #ifndef ALDERSILL_SRC_DISPATCH_JOB_PRICING_H_
 #define ALDERSILL_SRC_DISPATCH_JOB_PRICING_H_
 
@@ -20,11 +20,12 @@
         mean_relative_price_(run_times.MeanOverClasses()),
         mean_slot_time_(mean_relative_price_) {}
 
-  // The price of a job that has arrived, in tokens; the job counts in the means.
+  // Returns the price in tokens of a job that has arrived and updates the means with it.
   //
-  // Exception: k counts slots, and more where a class's running time is long for its priority weight, which
-  // is given for a job or for each unit of its work. By starts alone, long jobs of little weight crowd out
-  // short ones of much.
+  // The code deviates from the paper here: k is the number of slots that the job takes, and it is higher if
+  // the running time of its class is long for the class's priority weight, which is given for a job or for
+  // each unit of its work. If only starts counted, long jobs of low weight would crowd out short jobs of high
+  // weight.
   int PriceArrival(const Request& request) {
     const double run_time = run_times_.Mean(request.job_class);
     const double relative_price = (settings_.priority_weight_by_work ? 1.0 : run_time) /
@@ -43,9 +44,9 @@
  private:
   const Settings& settings_;
   const RunTimes& run_times_;
-  double mean_price_ = 1.0;
-  double mean_relative_price_;
-  double mean_slot_time_;
+  double mean_price_ = 1.0;     // of a job, in tokens
+  double mean_relative_price_;  // of a slot: running time or 1, divided by the priority weight
+  double mean_slot_time_;       // of a job: slots times microseconds
 };
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/key_popularity.h
+++ b/src/dispatch/key_popularity.h
@@ -1,5 +1,5 @@
-// Estimates what share of the recent requests carries a data key. Used to choose on how many workers a key's
-// data is kept (worker_selection.h).
+// Estimates the share of recent requests that carry a given data key. It determines the number of workers
+// that keep the key's data (worker_selection.h).
 #ifndef ALDERSILL_SRC_DISPATCH_KEY_POPULARITY_H_
 #define ALDERSILL_SRC_DISPATCH_KEY_POPULARITY_H_
 
@@ -10,8 +10,8 @@
 
 namespace aldersill::dispatch {
 
-// Counts per hash cell: keys share cells, so a share is accurate to about 1 / kCells. Counts are halved
-// after every kCells to 2 * kCells requests, so that old requests lose weight.
+// Counts requests per hash cell. Several keys share a cell, so a share is accurate to about 1 / kCells. The
+// counts are halved after every kCells to 2 * kCells requests, so that old requests lose weight.
 class KeyPopularity {
  public:
   void Record(std::uint64_t key) {
@@ -22,10 +22,10 @@
     for (int& cell : cells_)
       total_ += cell /= 2;
   }
-  // From 0 to 1.
+  // The share of recent requests that carry the key, from 0 to 1.
   double ShareOf(std::uint64_t key) const {
-    // kPriorTotal stands for requests with other keys; without it the first few counts would give large
-    // shares.
+    // kPriorTotal is an assumed number of requests with other keys. Without it the first few requests would
+    // give large shares.
     return static_cast<double>(cells_[Mix(key) % kCells]) / (total_ + kPriorTotal);
   }
 
@@ -33,7 +33,7 @@
   static constexpr int kCells = 4096;
   static constexpr int kPriorTotal = kCells / 16;
   std::vector<int> cells_ = std::vector<int>(kCells);
-  int total_ = 0;
+  int total_ = 0;  // sum of the counts
 };
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/outcome_learning.cpp
+++ b/src/dispatch/outcome_learning.cpp
@@ -37,7 +37,7 @@
   const double run_time = context_.Since(attempt.started != 0 ? attempt.started : attempt.sent);
   estimates_.RecordRunTime(worker, run_time / run_times_.Mean(request.job_class));
   run_times_.Record(request.job_class, run_time);
-  // Without reports of starts the answer's time shows whether it started late.
+  // If workers do not report starts, the time of the answer indicates whether the job started late.
   if (context_.settings().reports_start)
     return;
   rate_.RecordAnswer(run_time <=
--- a/src/dispatch/outcome_learning.h
+++ b/src/dispatch/outcome_learning.h
@@ -1,5 +1,5 @@
-// Passes what an attempt's outcome shows on to each estimate: the worker's, its zone's, the class's running
-// times and the throttle's rate.
+// Updates all estimates with the start and the outcome of an attempt: those of the worker and its zone, the
+// running times of the class, and the throttle's rate.
 #ifndef ALDERSILL_SRC_DISPATCH_OUTCOME_LEARNING_H_
 #define ALDERSILL_SRC_DISPATCH_OUTCOME_LEARNING_H_
 
@@ -24,9 +24,9 @@
         ejection_(ejection),
         rate_(rate) {}
 
-  // `attempt` has been updated with the outcome already.
+  // Records how an attempt ended; `attempt` must have been updated with the outcome already.
   void RecordOutcome(const Request& request, const Attempt& attempt, Outcome outcome);
-  // An attempt has started to run.
+  // Records that an attempt has started to run.
   void RecordStart(const Request& request, const Attempt& attempt);
 
  private:
--- a/src/dispatch/outlier_ejection.cpp
+++ b/src/dispatch/outlier_ejection.cpp
@@ -7,9 +7,10 @@
 
 constexpr Micros kShortestBackoff = 500'000;
 constexpr Micros kLongestBackoff = 8'000'000;
-constexpr int kZoneFailures = 3;  // consecutive connect failures after which a zone counts as cut off
+constexpr int kZoneFailures = 3;  // consecutive connect failures after which a zone counts as unreachable
 
-// Half to one and a half times the mean, so that nodes do not return together.
+// A random time from half to one and a half times the mean, in microseconds. The jitter prevents all nodes
+// from sending to the worker again at the same time.
 Micros Jittered(Random& random, double mean) { return static_cast<Micros>((0.5 + random.Uniform()) * mean); }
 
 }  // namespace
--- a/src/dispatch/rate_control.cpp
+++ b/src/dispatch/rate_control.cpp
@@ -6,9 +6,10 @@
 namespace aldersill::dispatch {
 namespace {
 
-// Changes per attempt: a small increase if it is accepted, a larger decrease on a sign of overload. At its
-// initial value the rate is
-// in balance where a share kIncrease / (kIncrease + kDecrease) of attempts, a sixth, meets such a sign.
+// Changes of the rate per attempt: a small increase if the attempt is accepted, as a share of the initial
+// rate, and a larger decrease on a sign of overload, as a share of the present rate. At its initial value the
+// rate is in balance if a share kIncrease / (kIncrease + kDecrease) of the attempts, a sixth, meets a sign of
+// overload.
 constexpr double kIncrease = 0.02;
 constexpr double kDecrease = 0.1;
 constexpr double kBalancedOverloadShare = kIncrease / (kIncrease + kDecrease);
@@ -24,6 +25,7 @@
 
 bool RateControl::IsOverloaded() const { return overload_share_ > kBalancedOverloadShare; }
 
+// In tokens a second, at least 1.
 double RateControl::InitialRate() const {
   if (quota_ > 0.0)
     return std::max(1.0, quota_ * pricing_.mean_price());
@@ -31,15 +33,16 @@
                            context_.settings().nodes);
 }
 
-// The lower bound of the rate. Quotas are divided evenly among nodes but traffic is not, so the bound is the
-// rate of arrivals here, less the recent share that met a sign of overload. A bank that fills just as fast as
-// jobs arrive rejects some by chance, and with many nodes each node counts few jobs, so three standard
-// deviations of the count are added, which shrink as overload grows.
+// The rate that the arrivals at this node need, in tokens a second. It is a lower bound of the rate, because
+// quotas are divided evenly among the nodes but traffic is not. It is the rate of arrivals, reduced by the
+// share of recent attempts that met a sign of overload. A bank that fills only as fast as jobs arrive rejects
+// some of them by chance, and with many nodes each node counts few jobs. Three standard deviations of the
+// count are therefore added, and they shrink as overload grows.
 double RateControl::NeededRate() const {
   const double arriving = arrivals_.TokensPerSecond(context_.now());
-  const double deviations = 3.0 * std::sqrt(arriving * kSecond / arrivals_.CountedWindow(context_.now()));
+  const double margin = 3.0 * std::sqrt(arriving * kSecond / arrivals_.CountedWindow(context_.now()));
   return std::max(arriving * (1.0 - overload_share_),
-                  (arriving + deviations) * (1.0 - overload_share_ / (2.0 * kBalancedOverloadShare)));
+                  (arriving + margin) * (1.0 - overload_share_ / (2.0 * kBalancedOverloadShare)));
 }
 
 void RateControl::RecordArrival(int price) {
@@ -51,9 +54,9 @@
 void RateControl::RecordStart(const StartDelay& delay) {
   if (delay.measured > delay.allowed)
     return Decrease();
-  // After a start as at a free worker, rate lost to an overload that is over returns as fast as it fell.
-  // Above the initial rate so does what was lost to rejections: workers reject what they could not start
-  // soon.
+  // A start as quick as at a free worker shows that the overload is over, so the rate then returns as fast as
+  // it fell. Above the initial rate only the part that was lost to rejections returns that fast, because
+  // workers reject jobs that they could not start soon.
   double step = kIncrease;
   if (delay.measured <= 2.0 * delay.usual)
     step = rate_ < InitialRate() ? kDecrease : kDecrease * rejection_share_;
@@ -75,28 +78,31 @@
 
 void RateControl::RecordFailure() { Decrease(); }
 
-// Increases add and decreases multiply: after a few late starts the rate soon returns.
+// Increases are additive and decreases multiplicative, so that the rate soon returns after a few late starts.
+// `step` is a share of the initial rate.
 void RateControl::Increase(double step) {
-  LearnOverload(false);
+  UpdateOverloadShare(false);
   any_accepted_ = true;
-  const double initial = InitialRate();
-  SetRate(rate_ + step * initial, initial);
+  const double initial_rate = InitialRate();
+  SetRate(rate_ + step * initial_rate, initial_rate);
 }
 
 void RateControl::Decrease() {
   rejection_share_ -= kPooledSampleWeight * rejection_share_;
-  LearnOverload(true);
+  UpdateOverloadShare(true);
   SetRate(rate_ - kDecrease * rate_, InitialRate());
 }
 
-void RateControl::LearnOverload(bool overloaded) {
+void RateControl::UpdateOverloadShare(bool overloaded) {
   overload_share_ += kPooledSampleWeight * ((overloaded ? 1.0 : 0.0) - overload_share_);
 }
 
-void RateControl::SetRate(double rate, double initial) {
-  const double most = std::max(2.0 * initial, NeededRate());
-  rate_ = std::clamp(rate, initial / 8.0, most);
-  if (rate_ <= initial / 8.0)
+// Sets the rate, limited to the range from an eighth of the initial rate to twice the initial rate or the
+// rate that arrivals need.
+void RateControl::SetRate(double rate, double initial_rate) {
+  const double highest_rate = std::max(2.0 * initial_rate, NeededRate());
+  rate_ = std::clamp(rate, initial_rate / 8.0, highest_rate);
+  if (rate_ <= initial_rate / 8.0)
     context_.LogRateLimited("rate at its floor: most attempts start late, are lost or find no room");
 }
 
--- a/src/dispatch/rate_control.h
+++ b/src/dispatch/rate_control.h
@@ -1,6 +1,6 @@
-// Learns the throttle's token rate R, which Berger and Whitt's paper leaves open: it rises with each accepted
-// attempt and falls with each sign of overload (time-outs, lost jobs, late starts and rejections that end a
-// request).
+// Adapts the throttle's token rate R, whose value Berger and Whitt's paper leaves open. The rate rises with
+// each accepted attempt and falls with each sign of overload: time-outs, lost jobs, failed connections, late
+// starts or answers, and rejections that end a request.
 #ifndef ALDERSILL_SRC_DISPATCH_RATE_CONTROL_H_
 #define ALDERSILL_SRC_DISPATCH_RATE_CONTROL_H_
 
@@ -13,29 +13,33 @@
 
 // How long an attempt took to start, in microseconds.
 struct StartDelay {
-  double measured = 0.0;
-  double usual = 0.0;    // at a free worker of its zone
-  double allowed = 0.0;  // a later start misses the latency objective
+  double measured = 0.0;  // delay of this attempt
+  double usual = 0.0;     // usual delay at a free worker of the same zone
+  double allowed = 0.0;   // longest delay with which a job still meets the latency objective
 };
 
 class RateControl {
  public:
   RateControl(Context& context, const Fleet& fleet, const JobPricing& pricing);
 
-  // Sets the initial rate: this node's share of the quotas or, without any, of what the listed workers can
-  // run.
+  // Sets the initial rate: this node's part of the quotas or, if there are none, of what the listed workers
+  // can run.
   void Begin() { rate_ = InitialRate(); }
 
   double rate() const { return rate_; }  // R, tokens a second
-  // Whether more attempts meet a sign of overload than the rate tolerates without falling.
+  // Whether so many recent attempts met a sign of overload that the rate, at its initial value, would fall.
   bool IsOverloaded() const;
 
+  // Records the arrival of a job with this price in tokens.
   void RecordArrival(int price);
+  // Records that an attempt has started to run.
   void RecordStart(const StartDelay& delay);
+  // Records an answer if workers do not report starts; `in_time`: whether it came as early as after a timely
+  // start.
   void RecordAnswer(bool in_time);
-  // The worker rejected the attempt; `final`: nothing further can be tried.
+  // Records that a worker rejected an attempt; `final`: whether the request cannot be tried again.
   void RecordRejection(bool final);
-  // A time-out, a lost job or a failed connection.
+  // Records a time-out, a lost job or a failed connection.
   void RecordFailure();
 
  private:
@@ -43,18 +47,18 @@
   double NeededRate() const;
   void Increase(double step);
   void Decrease();
-  void LearnOverload(bool overloaded);
-  void SetRate(double rate, double initial);
+  void UpdateOverloadShare(bool overloaded);
+  void SetRate(double rate, double initial_rate);
 
   Context& context_;
   const Fleet& fleet_;
   const JobPricing& pricing_;
-  const double quota_;  // this node's part, requests a second
+  const double quota_;  // this node's part of the quotas, in requests a second; 0 if there are none
   ArrivalRate arrivals_;
-  double rate_ = 1.0;
-  double overload_share_ = 0.0;   // recent share of attempts that met a sign of overload
-  double rejection_share_ = 0.0;  // share of rejections among the recent signs of overload
-  bool any_accepted_ = false;     // a worker has accepted an attempt
+  double rate_ = 1.0;             // R, in tokens a second
+  double overload_share_ = 0.0;   // share of recent attempts that met a sign of overload, 0 to 1
+  double rejection_share_ = 0.0;  // share of rejections among the recent signs of overload, 0 to 1
+  bool any_accepted_ = false;     // whether a worker has accepted an attempt
 };
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -1,5 +1,5 @@
-// Records of the requests that a dispatcher has not finished, and of their attempts. Plain data;
-// retry_policy.h decides on it.
+// Records of the requests that a dispatcher has not finished, and of their attempts. They are plain data;
+// retry_policy.h decides on them.
 #ifndef ALDERSILL_SRC_DISPATCH_REQUEST_H_
 #define ALDERSILL_SRC_DISPATCH_REQUEST_H_
 
@@ -14,28 +14,30 @@
 
 namespace aldersill::dispatch {
 
+// One send of a request to a worker.
 struct Attempt {
-  int worker = kNoWorker;  // its index in the fleet
-  Micros sent = 0;
-  Micros started = 0;        // 0: not known to have started
-  bool open = true;          // its outcome is still to come
-  bool may_have_run = true;  // until an outcome proves that it never ran
-  bool cancelled = false;    // a Cancel has been emitted
+  int worker = kNoWorker;    // index of the worker in the fleet
+  Micros sent = 0;           // time of the send
+  Micros started = 0;        // time at which the job was reported as started; 0: not reported
+  bool open = true;          // whether its outcome has not been reported yet
+  bool may_have_run = true;  // false once an outcome proves that the job never ran
+  bool cancelled = false;    // whether a Cancel has been emitted
 };
 
+// A request that has arrived and is not finished.
 struct Request {
   RequestId id{};
-  int job_class = 0;  // index into Settings::classes
-  int tenant = 0;     // index into the throttle's tenants
-  int slots = 1;      // of a worker, while it runs
-  int price = 1;      // in tokens: the paper's k
-  int owed = 0;       // tokens of the price that are still to be paid while it is buffered
-  Micros arrived = 0;
-  Micros deadline = 0;
-  std::optional<std::uint64_t> key{};
-  std::vector<Attempt> attempts{};  // in the order of their sends
-  bool ended = false;               // it has its final answer, or its client is gone
-  bool streaming = false;           // a part of the answer has been forwarded
+  int job_class = 0;                   // index into Settings::classes
+  int tenant = 0;                      // index into the throttle's tenants
+  int slots = 1;                       // slots of a worker that it takes while it runs
+  int price = 1;                       // in tokens; k in Berger and Whitt's paper (throttle.h)
+  int owed = 0;                        // tokens of the price that are still unpaid while it is buffered
+  Micros arrived = 0;                  // time of the arrival
+  Micros deadline = 0;                 // time at which the client stops waiting
+  std::optional<std::uint64_t> key{};  // identifies data that the job needs
+  std::vector<Attempt> attempts{};     // in the order of their sends
+  bool ended = false;                  // whether it has its final answer, or its client is gone
+  bool streaming = false;              // whether a part of the answer has been forwarded
 
   bool HasOpenAttempt() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.open; });
@@ -58,11 +60,12 @@
 class RequestTable {
  public:
   bool Contains(RequestId id) const { return requests_.contains(id); }
-  // Null if there is none.
+  // The request of this id, or null.
   Request* Find(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
+  // The request of this id; throws std::out_of_range if there is none.
   Request& At(RequestId id) { return requests_.at(id); }
   Request& Add(RequestId id) {
     Request& request = requests_[id];
@@ -70,7 +73,7 @@
     return request;
   }
   void Erase(RequestId id) { requests_.erase(id); }
-  // The open attempt of this number, or null.
+  // The attempt of this number if it is open, else null.
   Attempt* FindOpenAttempt(RequestId id, int attempt_number) {
     Request* request = Find(id);
     if (request == nullptr || attempt_number < 0 || attempt_number >= std::ssize(request->attempts))
--- a/src/dispatch/retry_policy.cpp
+++ b/src/dispatch/retry_policy.cpp
@@ -16,7 +16,7 @@
       continue;
     if (job_class.repeat == Repeat::kUnsafe)
       return 0;
-    // min(latest, sent + window) without overflow.
+    // This is min(latest, attempt.sent + window) without overflow.
     if (job_class.repeat == Repeat::kKeyed)
       latest = attempt.sent + std::min(job_class.window, latest - attempt.sent);
   }
--- a/src/dispatch/retry_policy.h
+++ b/src/dispatch/retry_policy.h
@@ -7,15 +7,16 @@
 
 namespace aldersill::dispatch {
 
-// The time before which a further attempt may safely start, whatever the outcomes of the earlier ones; 0 if
-// none may start. Before the first attempt it is the deadline.
+// The time before which a further attempt of the request may safely start, whatever the outcomes of its open
+// attempts; 0 if none may start. Before the first attempt it is the deadline.
 Micros LatestAttemptStart(const Settings& settings, const Request& request);
 
 inline bool MayStartAttempt(const Settings& settings, const Request& request, Micros now) {
   return now < LatestAttemptStart(settings, request);
 }
 
-// Whether the request may be rejected, which promises that it may be tried elsewhere, rather than failed.
+// Whether the request may be answered with a rejection, which promises that it may be tried elsewhere,
+// instead of a failure.
 bool IsRejectionSafe(const Settings& settings, const Request& request);
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -11,7 +11,7 @@
 
 namespace aldersill::dispatch {
 
-// All times are in microseconds. Until a class has answers its target stands in for its running time.
+// All times are in microseconds. The estimates of a class start from its target.
 class RunTimes {
  public:
   explicit RunTimes(const std::vector<ClassSettings>& classes) : classes_(classes) {
@@ -21,6 +21,7 @@
     }
   }
 
+  // Records the running time of an answered job.
   void Record(int job_class, double run_time) {
     means_[job_class] += kPooledSampleWeight * (run_time - means_[job_class]);
     double& median = medians_[job_class];
@@ -32,8 +33,8 @@
   double MeanOverClasses() const {
     return std::accumulate(means_.begin(), means_.end(), 0.0) / means_.size();
   }
-  // How late a job of median length may start and still meet the latency objective. The median, as in a
-  // long-tailed class few jobs are as long as the mean.
+  // The longest delay with which a job of median running time may start and still meet the latency objective.
+  // The median is used because few jobs of a long-tailed class are as long as the mean.
   double StartAllowance(int job_class) const {
     const ClassSettings& settings = classes_[job_class];
     return settings.target + std::max(0.0, settings.stretch - 1.0) * medians_[job_class];
--- a/src/dispatch/settings.cpp
+++ b/src/dispatch/settings.cpp
@@ -7,9 +7,10 @@
 namespace aldersill::dispatch {
 namespace {
 
-void Require(bool holds, const std::string& setting, const std::string& must) {
-  if (!holds)
-    throw std::invalid_argument("setting " + setting + " " + must);
+// Throws std::invalid_argument with the setting and the requirement unless the requirement is met.
+void Require(bool is_met, const std::string& setting, const std::string& requirement) {
+  if (!is_met)
+    throw std::invalid_argument("setting " + setting + " " + requirement);
 }
 
 void RequireFraction(double value, const std::string& setting) {
@@ -28,9 +29,9 @@
   RequireFraction(job_class.late_priority_weight, prefix + "late_worth");
   Require(job_class.window >= 0, prefix + "window", "must not be negative");
   Require(job_class.repeat != Repeat::kKeyed || job_class.window > 0, prefix + "window",
-          "must be positive where repeats are keyed");
+          "must be positive if repeats are keyed");
   Require(job_class.kind >= -1 && job_class.kind < static_cast<int>(kinds), prefix + "kind",
-          "names no worker kind");
+          "must be -1 or the index of a worker kind");
 }
 
 void ValidateClasses(const Settings& settings) {
@@ -39,19 +40,19 @@
     ValidateClass(settings.classes[i], settings.kinds.size(), "classes[" + std::to_string(i) + "].");
 }
 
-// Returns the sum of the shares.
+// Returns the sum of the tenants' shares.
 double ValidateTenants(const Settings& settings) {
-  double shares = settings.tenants.empty() ? 1.0 : 0.0;
+  double share_sum = settings.tenants.empty() ? 1.0 : 0.0;
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
     const std::string prefix = "tenants[" + std::to_string(i) + "].";
     const TenantSettings& tenant = settings.tenants[i];
     RequireNotNegative(tenant.share, prefix + "share");
     if (tenant.quota_per_s)
       RequireNotNegative(*tenant.quota_per_s, prefix + "quota_per_s");
-    shares += tenant.share;
+    share_sum += tenant.share;
   }
-  Require(shares > 0.0, "tenants", "must hold a share between them");
-  return shares;
+  Require(share_sum > 0.0, "tenants", "must have shares with a positive sum");
+  return share_sum;
 }
 
 void ValidateService(const Settings& settings) {
@@ -76,10 +77,10 @@
 
 Settings ValidatedSettings(Settings settings) {
   ValidateClasses(settings);
-  const double shares = ValidateTenants(settings);
+  const double share_sum = ValidateTenants(settings);
   ValidateService(settings);
   for (TenantSettings& tenant : settings.tenants)
-    tenant.share /= shares;
+    tenant.share /= share_sum;
   return settings;
 }
 
--- a/src/dispatch/settings.h
+++ b/src/dispatch/settings.h
@@ -1,4 +1,4 @@
-// Validation of a dispatcher's settings.
+// Validates a dispatcher's settings and derives values from them.
 #ifndef ALDERSILL_SRC_DISPATCH_SETTINGS_H_
 #define ALDERSILL_SRC_DISPATCH_SETTINGS_H_
 
@@ -6,11 +6,12 @@
 
 namespace aldersill::dispatch {
 
-// Returns the settings with the tenants' shares scaled to sum to one; throws std::invalid_argument that names
-// the first invalid setting.
+// Returns the settings with the tenants' shares scaled to sum to one. Throws std::invalid_argument with a
+// message that names the first invalid setting.
 Settings ValidatedSettings(Settings settings);
 
-// This node's even part of the tenants' quotas in requests a second; 0 where no tenant has one.
+// The sum of the tenants' quotas divided by the number of nodes, in requests a second; 0 if no tenant has a
+// quota.
 double NodeQuota(const Settings& settings);
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/throttle.cpp
+++ b/src/dispatch/throttle.cpp
@@ -5,7 +5,9 @@
 namespace aldersill::dispatch {
 namespace {
 
+// Tokens that became due longer ago than this are not issued, which limits the burst after a long pause.
 constexpr Micros kLongestTokenDebt = 30 * static_cast<Micros>(kSecond);
+// Combined share of the token stream for all tenants that are missing from the settings, if these list any.
 constexpr double kUnlistedShare = 1e-6;
 
 }  // namespace
@@ -18,16 +20,17 @@
     tenant_names_.emplace(tenant.name, static_cast<int>(banks_.size()));
     banks_.emplace_back().share = tenant.share;
   }
-  // If tenants are listed, jobs of unlisted ones get only the tokens that the others leave.
+  // If the settings list tenants, jobs of unlisted tenants get only the tokens that the listed ones do not
+  // use.
   banks_.emplace_back().share = settings.tenants.empty() ? 1.0 : kUnlistedShare;
   for (const ClassSettings& job_class : settings.classes)
     shortest_target_ = std::min(shortest_target_, job_class.target);
 }
 
 void Throttle::Begin() {
-  // Full banks would allow a burst at a restart; empty ones would reject jobs that a lightly loaded fleet
-  // could run. The random phase keeps nodes that start together from releasing buffered jobs at the same
-  // times.
+  // Banks start half full: full ones would allow a burst after a restart, and empty ones would reject jobs
+  // that a lightly loaded fleet could run. The random phase prevents nodes that start together from releasing
+  // buffered jobs at the same times.
   const TokenStream stream = Stream();
   for (TokenBank& bank : banks_)
     bank.tokens = bank.Capacity(stream) / 2;
@@ -39,9 +42,9 @@
   bank.highest_price = std::max(bank.highest_price, request->price);
   if (bank.Counter(Stream()) < request->price)
     return Admission::kRejected;
-  const int paid = std::min(bank.tokens, request->price);
-  bank.tokens -= paid;
-  request->owed = request->price - paid;
+  const int paid_tokens = std::min(bank.tokens, request->price);
+  bank.tokens -= paid_tokens;
+  request->owed = request->price - paid_tokens;
   bank.owed += request->owed;
   if (request->owed == 0)
     return Admission::kPaid;
@@ -53,19 +56,21 @@
 
 Request* Throttle::IssueToken() {
   next_token_ += std::max<Micros>(1, static_cast<Micros>(kSecond / rate_.rate()));
+  // Stride scheduling: the token goes to the tenant with the lowest next pass.
   const auto next_pass = [](const TokenBank& bank) { return bank.pass + 1.0 / bank.share; };
-  const auto turn = std::ranges::min_element(banks_, {}, next_pass);
-  turn->pass = next_pass(*turn);
+  const auto scheduled_bank = std::ranges::min_element(banks_, {}, next_pass);
+  scheduled_bank->pass = next_pass(*scheduled_bank);
   const TokenStream stream = Stream();
-  const bool has_use = !turn->buffered.empty() || turn->tokens < turn->Capacity(stream);
-  Request* paid = AddToken(static_cast<int>(turn - banks_.begin()));
-  // A token that an idle tenant cannot use goes to the tenant with the lowest counter, unless there is an
-  // overload. Then it is dropped, as otherwise tenants would get more than their shares.
-  if (has_use || rate_.IsOverloaded())
-    return paid;
+  const bool can_use_token =
+      !scheduled_bank->buffered.empty() || scheduled_bank->tokens < scheduled_bank->Capacity(stream);
+  Request* paid_request = AddToken(static_cast<int>(scheduled_bank - banks_.begin()));
+  // If the tenant is idle and its bank is full, the token goes to the tenant with the lowest counter. During
+  // an overload it is dropped instead, because tenants would otherwise get more than their shares.
+  if (can_use_token || rate_.IsOverloaded())
+    return paid_request;
   const auto counter = [&stream](const TokenBank& bank) { return bank.Counter(stream); };
-  const auto neediest = std::ranges::min_element(banks_, {}, counter);
-  return AddToken(static_cast<int>(neediest - banks_.begin()));
+  const auto lowest_bank = std::ranges::min_element(banks_, {}, counter);
+  return AddToken(static_cast<int>(lowest_bank - banks_.begin()));
 }
 
 Request* Throttle::AddToken(int tenant) {
@@ -74,12 +79,12 @@
     bank.tokens = std::min(bank.tokens + 1, bank.Capacity(Stream()));
     return nullptr;
   }
-  Request& first = requests_.At(bank.buffered.front());
+  Request& first_buffered = requests_.At(bank.buffered.front());
   --bank.owed;
-  if (--first.owed > 0)
+  if (--first_buffered.owed > 0)
     return nullptr;
   bank.buffered.pop_front();
-  return &first;
+  return &first_buffered;
 }
 
 bool Throttle::IsOverdue(const Request& request) const {
@@ -102,9 +107,9 @@
   if (!settings.retry_after)
     return 0;
   const TokenBank& bank = banks_[request.tenant];
-  const double until_paid = (request.price + bank.owed) * kSecond / (rate_.rate() * bank.share);
+  const double micros_until_paid = (request.price + bank.owed) * kSecond / (rate_.rate() * bank.share);
   return std::min(settings.max_retry_after,
-                  static_cast<Micros>(until_paid * (0.5 + context_.random().Uniform())));
+                  static_cast<Micros>(micros_until_paid * (0.5 + context_.random().Uniform())));
 }
 
 void Throttle::ScheduleWakeUp() {
--- a/src/dispatch/throttle.h
+++ b/src/dispatch/throttle.h
@@ -1,6 +1,6 @@
-// Admission: Berger and Whitt's token-bank throttle with job buffer for each tenant. One stream of tokens is
-// divided among the tenants' banks by stride scheduling over their shares; a job is dispatched once its price
-// is paid.
+// Admission control: Berger and Whitt's throttle, with a token bank and a job buffer for each tenant. One
+// stream of tokens is divided among the tenants' banks by stride scheduling over their shares. A job is
+// dispatched once its price is paid.
 #ifndef ALDERSILL_SRC_DISPATCH_THROTTLE_H_
 #define ALDERSILL_SRC_DISPATCH_THROTTLE_H_
 
@@ -20,46 +20,53 @@
 
 class Throttle {
  public:
+  // What happens to a job that has just arrived: its price is paid in full; or it waits in the buffer for
+  // more tokens; or it must be rejected because its price exceeds the counter of its tenant's bank.
   enum class Admission { kPaid, kBuffered, kRejected };
 
   Throttle(Context& context, RequestTable& requests, const RateControl& rate, const JobPricing& pricing);
 
-  // Fills the banks by half and starts the token stream at a random phase.
+  // Fills the banks to half of their capacity and starts the token stream at a random phase.
   void Begin();
 
-  // The bank of a tenant of this name; unlisted names share one.
+  // The index of the tenant of this name; all names that the settings do not list share one.
   int TenantOf(const std::string& name) const {
     return IndexOf(tenant_names_, name, static_cast<int>(banks_.size()) - 1);
   }
+  // The number of tenants, including the one for unlisted names.
   int tenants() const { return static_cast<int>(banks_.size()); }
 
-  // Charges the bank for a job that has just arrived. A buffered job is returned later by AddToken or
-  // IssueToken.
+  // Charges the tenant's bank for a job that has just arrived and buffers the job if the bank holds too few
+  // tokens. AddToken or IssueToken returns a buffered job when the rest of its price is paid.
   Admission Admit(Request* request);
 
-  // To be called before issuing tokens: bounds how many are owed after a long pause.
+  // Limits how many tokens are due after a long pause. To be called before tokens are issued.
   void ForgetOldTokens();
   bool IsTokenDue() const { return next_token_ <= context_.now(); }
-  // Issues the next token of the stream; returns the job that it finished paying for, or null.
+  // Issues the next token of the stream. Returns the job whose price it completes, which then leaves the
+  // buffer, or null.
   Request* IssueToken();
-  // Adds a token to one tenant's bank or, where jobs are buffered, pays with it for the first; returns the
-  // job that it finished paying for, or null.
+  // Uses a token to pay for the tenant's first buffered job or, if none is buffered, adds it to the tenant's
+  // bank. Returns the job whose price it completes, which then leaves the buffer, or null.
   Request* AddToken(int tenant);
 
+  // The tenant's buffered jobs in the order of their arrivals.
   const std::deque<RequestId>& buffered(int tenant) const { return banks_[tenant].buffered; }
   // Whether a buffered job should be rejected now, while there is time left to run it elsewhere.
   bool IsOverdue(const Request& request) const;
-  // Removes a job from the buffer, if it is there; returns how many tokens were paid for it.
+  // Removes a job from the buffer if it is there. Returns the number of tokens that were paid for it.
   int RemoveFromBuffer(const Request& request);
 
+  // Whether the tenant's bank holds the price of a further attempt.
   bool CanPay(const Request& request) const { return banks_[request.tenant].tokens >= request.price; }
   void Pay(const Request& request) { banks_[request.tenant].tokens -= request.price; }
 
-  // Advice for a rejected client: when its tenant's tokens will have paid for the job, with jitter so that
-  // clients rejected together do not return together. 0 if the settings ask for no advice.
+  // The retry delay to advise to a rejected client: the time until its tenant's tokens would have paid for
+  // the job, at most max_retry_after, with jitter so that clients rejected together do not return together. 0
+  // if the settings do not allow advice.
   Micros RetryAfter(const Request& request);
 
-  // Starts a timer for the next token while jobs are buffered.
+  // Starts a timer for the next token if jobs are buffered and no such timer is running.
   void ScheduleWakeUp();
 
  private:
@@ -69,11 +76,11 @@
   RequestTable& requests_;
   const RateControl& rate_;
   const JobPricing& pricing_;
-  std::vector<TokenBank> banks_;  // by tenant; the last is that of unlisted ones
+  std::vector<TokenBank> banks_;  // by tenant; the last one is for unlisted tenants
   NameIndex tenant_names_;
-  Micros shortest_target_ = std::numeric_limits<Micros>::max();  // of all classes
-  Micros next_token_ = std::numeric_limits<Micros>::max();
-  Micros wake_up_at_ = 0;
+  Micros shortest_target_ = std::numeric_limits<Micros>::max();  // shortest target of all classes
+  Micros next_token_ = std::numeric_limits<Micros>::max();       // time at which the next token is due
+  Micros wake_up_at_ = 0;                                        // time for which the last timer was started
 };
 
 }  // namespace aldersill::dispatch
--- a/src/dispatch/token_bank.h
+++ b/src/dispatch/token_bank.h
@@ -1,4 +1,4 @@
-// One tenant's token bank and job buffer of Berger and Whitt's throttle.
+// One tenant's token bank and job buffer, as in Berger and Whitt's throttle (throttle.h).
 #ifndef ALDERSILL_SRC_DISPATCH_TOKEN_BANK_H_
 #define ALDERSILL_SRC_DISPATCH_TOKEN_BANK_H_
 
@@ -11,40 +11,43 @@
 
 namespace aldersill::dispatch {
 
-// The token stream's present properties, from which capacities follow.
+// The present properties of the token stream, which determine the capacities of banks and buffers.
 struct TokenStream {
-  double rate = 1.0;        // R, tokens a second
-  double mean_price = 1.0;  // tokens that a job pays
-  Micros shortest_target = 0;
+  double rate = 1.0;           // R in the paper, in tokens a second
+  double mean_price = 1.0;     // mean price of a job, in tokens
+  Micros shortest_target = 0;  // shortest target of all classes
 };
 
+// The state of one tenant's bank and buffer. The symbols in the comments are those of the paper.
 struct TokenBank {
-  double share = 0.0;     // of the token stream
-  double pass = 0.0;      // of stride scheduling among the tenants
-  int tokens = 0;         // T
-  int owed = 0;           // J: tokens that the buffered jobs still have to pay
-  int highest_price = 1;  // of a job so far
-  std::deque<RequestId> buffered{};
-
-  // Jobs that a bank holds however slowly its tokens come. The share of jobs that a throttle rejects by
-  // chance depends on its capacity in jobs, not in seconds: at three quarters of the token rate, a bank that
-  // holds two jobs rejects a tenth of them, one that holds eight a hundredth. With a hundred nodes, a node
-  // may get one token of a tenant every ten seconds.
-  static constexpr double kJobs = 8.0;
-
-  // C_T: some jobs, a second of the tenant's tokens and their usual deviation. At least the highest price.
+  double share = 0.0;                // share of the token stream, 0 to 1
+  double pass = 0.0;                 // pass value of stride scheduling among the tenants
+  int tokens = 0;                    // T, the tokens in the bank
+  int owed = 0;                      // J, the tokens that are still unpaid for the buffered jobs
+  int highest_price = 1;             // highest price of a job so far, in tokens
+  std::deque<RequestId> buffered{};  // in the order of their arrivals
+
+  // Minimum capacity of a bank, in jobs of the mean price. The share of jobs that a throttle rejects by
+  // chance depends on its capacity in jobs, not in seconds: if jobs arrive at three quarters of the token
+  // rate, a bank that holds two jobs rejects a tenth of them, and one that holds eight jobs rejects a
+  // hundredth. With a hundred nodes, a node may get only one token of a tenant every ten seconds.
+  static constexpr double kMinJobs = 8.0;
+
+  // C_T, the capacity of the bank in tokens: the highest price, kMinJobs mean jobs, one second of the
+  // tenant's tokens and twice the standard deviation of that number.
   int Capacity(const TokenStream& stream) const {
-    const double in_a_second = share * stream.rate;
-    return highest_price +
-           static_cast<int>(kJobs * stream.mean_price + in_a_second + 2.0 * std::sqrt(in_a_second));
+    const double tokens_per_second = share * stream.rate;
+    return highest_price + static_cast<int>(kMinJobs * stream.mean_price + tokens_per_second +
+                                            2.0 * std::sqrt(tokens_per_second));
   }
-  // C_J: the tokens issued while a job may be buffered; small, as the paper's section 6 advises. At least the
-  // highest price.
+  // C_J, the capacity of the buffer in tokens: the tokens that are issued while a job may wait in the buffer
+  // (half of the shortest target), at least the highest price. It is small, as section 6 of the paper
+  // advises.
   int BufferCapacity(const TokenStream& stream) const {
     return std::max(highest_price,
                     static_cast<int>(share * stream.rate * stream.shortest_target / 2.0 / kSecond));
   }
-  // U = T - J + C_J: a job is admitted if its price is no higher.
+  // U = T - J + C_J. A job is admitted if its price does not exceed it.
   int Counter(const TokenStream& stream) const { return tokens - owed + BufferCapacity(stream); }
 };
 
--- a/src/dispatch/unresponsive_workers.cpp
+++ b/src/dispatch/unresponsive_workers.cpp
@@ -7,13 +7,13 @@
 namespace aldersill::dispatch {
 namespace {
 
-constexpr double kTimeoutFactor = 1.5;  // multiple of the time that a late job takes
-constexpr Micros kProbeTimeout = 300'000;
-constexpr Micros kTimerTolerance = 1000;  // timers may fire this early
+constexpr double kTimeoutFactor = 1.5;  // the answer timeout as a multiple of the time that a late job takes
+constexpr Micros kProbeTimeout = 300'000;  // time within which a worker must answer a probe
+constexpr Micros kTimerTolerance = 1000;   // timers may fire this early, in microseconds
 
 }  // namespace
 
-// How long the answer to a job may take, in microseconds, before the worker counts as unresponsive.
+// The time after which a worker counts as unresponsive if it has not answered a job, in microseconds.
 double UnresponsiveWorkers::AnswerTimeout(const Request& request) const {
   return kTimeoutFactor * (run_times_.StartAllowance(request.job_class) + run_times_.Mean(request.job_class));
 }
@@ -30,15 +30,17 @@
   }
 }
 
+// Ejects the attempt's worker and cancels the attempt if the answer is overdue; otherwise starts another
+// timer.
 void UnresponsiveWorkers::CheckAttempt(Request* request, std::size_t attempt_number) {
   const Attempt& attempt = request->attempts[attempt_number];
   Worker& worker = fleet_.worker(attempt.worker);
   const double timeout = AnswerTimeout(*request);
-  const Micros waited = context_.now() - attempt.sent;
-  const Micros silent = context_.now() - std::max(attempt.sent, worker.answered_at);
-  if (waited + kTimerTolerance < timeout || silent + kTimerTolerance < timeout) {
-    context_.StartTimer(static_cast<Micros>(timeout) - std::min(waited, silent), TimerKind::kAnswerOverdue,
-                        request->id);
+  const Micros since_send = context_.now() - attempt.sent;
+  const Micros since_answer = context_.now() - std::max(attempt.sent, worker.answered_at);
+  if (since_send + kTimerTolerance < timeout || since_answer + kTimerTolerance < timeout) {
+    context_.StartTimer(static_cast<Micros>(timeout) - std::min(since_send, since_answer),
+                        TimerKind::kAnswerOverdue, request->id);
     return;
   }
   if (context_.settings().probes && AwaitsProbe(&worker, timeout)) {
@@ -48,11 +50,12 @@
   }
   if (worker.ejected_until <= context_.now())
     ejection_.Eject(&worker);
-  if (MayRunAgain(*request, waited, timeout))
+  if (MayRunAgain(*request, since_send, timeout))
     CancelAttempt(context_, request, attempt_number);
 }
 
-// Probes the worker unless it was probed within the timeout; returns whether the answer may still come.
+// Probes the worker unless it was probed within the timeout. Returns whether the answer to the probe may
+// still come.
 bool UnresponsiveWorkers::AwaitsProbe(Worker* worker, double timeout) {
   if (worker->probed_at == 0 || context_.now() - worker->probed_at >= timeout) {
     worker->probed_at = context_.now();
@@ -61,12 +64,13 @@
   return context_.now() - worker->probed_at + kTimerTolerance < kProbeTimeout;
 }
 
-bool UnresponsiveWorkers::MayRunAgain(const Request& request, Micros waited, double timeout) const {
+// Whether an attempt sent this many microseconds ago may be cancelled so that the request can run elsewhere.
+bool UnresponsiveWorkers::MayRunAgain(const Request& request, Micros since_send, double timeout) const {
   const Settings& settings = context_.settings();
   const ClassSettings& job_class = settings.classes[request.job_class];
-  const bool harmless = job_class.repeat == Repeat::kRepeatable ||
-                        (job_class.repeat == Repeat::kKeyed && waited < job_class.window);
-  return harmless && settings.cancel && request.deadline - context_.now() > timeout / 2 &&
+  const bool is_repeat_safe = job_class.repeat == Repeat::kRepeatable ||
+                              (job_class.repeat == Repeat::kKeyed && since_send < job_class.window);
+  return is_repeat_safe && settings.cancel && request.deadline - context_.now() > timeout / 2 &&
          std::ssize(request.attempts) < settings.max_attempts && throttle_.CanPay(request);
 }
 
--- a/src/dispatch/unresponsive_workers.h
+++ b/src/dispatch/unresponsive_workers.h
@@ -1,4 +1,4 @@
-// Detects workers that accept jobs and answer none.
+// Detects workers that accept jobs but answer none.
 #ifndef ALDERSILL_SRC_DISPATCH_UNRESPONSIVE_WORKERS_H_
 #define ALDERSILL_SRC_DISPATCH_UNRESPONSIVE_WORKERS_H_
 
@@ -13,18 +13,20 @@
 
 namespace aldersill::dispatch {
 
-// Exception: a worker that accepts jobs and answers none keeps them to their deadlines, and no outcome shows
-// it. Where nothing at all has come from a worker since a job was sent there too long ago, it is ejected as
-// one that cannot be reached, and the job is cancelled where it may run again. Where probes are allowed the
-// worker is probed first: with many nodes, each gets answers from a worker so rarely that a queue looks
-// like silence, and jobs cancelled while queued would run twice when capacity is scarcest.
+// Ejects workers that accept jobs but answer none. Berger and Whitt's paper (throttle.h) has no such rule;
+// the code deviates from it because such a worker keeps its jobs until their deadlines, and no outcome shows
+// that it does not work. If a job was sent to a worker too long ago and the worker has answered nothing
+// since, the worker is ejected like one that cannot be reached, and the job is cancelled if it may run again.
+// If probes are allowed, the worker is probed first: with many nodes, each node gets answers from a worker so
+// rarely that a long queue looks like silence, and jobs that are cancelled while they are queued would run
+// twice when capacity is scarcest.
 class UnresponsiveWorkers {
  public:
   UnresponsiveWorkers(Context& context, Fleet& fleet, const RunTimes& run_times, const Throttle& throttle,
                       OutlierEjection& ejection)
       : context_(context), fleet_(fleet), run_times_(run_times), throttle_(throttle), ejection_(ejection) {}
 
-  // Starts the timer after which CheckAttempts is due. To be called with each send.
+  // Starts the timer after which CheckAttempts must be called. To be called after each send.
   void WatchAttempt(const Request& request);
   // Examines the open attempts of a request whose timer has fired.
   void CheckAttempts(Request* request);
@@ -33,7 +35,7 @@
   double AnswerTimeout(const Request& request) const;
   void CheckAttempt(Request* request, std::size_t attempt_number);
   bool AwaitsProbe(Worker* worker, double timeout);
-  bool MayRunAgain(const Request& request, Micros waited, double timeout) const;
+  bool MayRunAgain(const Request& request, Micros since_send, double timeout) const;
 
   Context& context_;
   Fleet& fleet_;
--- a/src/dispatch/worker_estimates.cpp
+++ b/src/dispatch/worker_estimates.cpp
@@ -5,11 +5,11 @@
 namespace aldersill::dispatch {
 namespace {
 
-// Assumed age of a load report on arrival: workers refresh reports periodically and these arrive late. No
-// setting tells the age.
+// Assumed age of a load report when it arrives, in microseconds. Workers refresh their reports periodically
+// and the reports arrive late, but no setting gives the age.
 constexpr Micros kReportDelay = 700'000;
-// Workers whose reports came last are compared in every choice: a random sample of a large fleet would rarely
-// include one with a fresh report.
+// Number of workers with the latest reports that are considered in every choice of a worker, because a random
+// sample of a large fleet would rarely include one with a recent report.
 constexpr std::size_t kRecentReporters = 4 * kSampledWorkers;
 
 }  // namespace
@@ -34,7 +34,7 @@
   if (!free_slots)
     return;
   kind.longest_queue = std::max(kind.longest_queue, -*free_slots);
-  // The report is dated back: it no longer tells anything about jobs that end before it arrives.
+  // The report is dated back by its assumed age, because it does not reflect the jobs that ended since.
   worker.RecordFreeSlots(*free_slots, context_.now() - kReportDelay);
   fleet_.RecordReport(index, kRecentReporters);
   double& free_share = fleet_.FreeShareOf(worker);
@@ -48,7 +48,7 @@
 }
 
 void WorkerEstimates::RecordRunTime(Worker* worker, double run_time_ratio) {
-  // Clipped, so that one long job or pause does not count against a worker for long.
+  // The sample is limited so that a single long job or pause does not affect the worker's estimate for long.
   const double sample = std::clamp(run_time_ratio, 0.25, 4.0);
   WorkerKind& kind = fleet_.KindOf(*worker);
   kind.run_time_ratio += kPooledSampleWeight * (sample - kind.run_time_ratio);
@@ -56,13 +56,14 @@
 }
 
 void WorkerEstimates::RecordRejection(Worker* worker) {
+  // The worker is assumed to have the longest queue known for its kind, with at least one job for each slot.
   const WorkerKind& kind = fleet_.KindOf(*worker);
   worker->RecordFreeSlots(-std::max(kind.slots, kind.longest_queue), context_.now());
   worker->free_slots_offset -= kWorkerSampleWeight * (kind.slots + worker->free_slots_offset);
 }
 
 double WorkerEstimates::RecordStartDelay(const Worker& worker, double delay) {
-  // The usual delay is that of a free worker: quick to fall, slow to rise.
+  // The estimate falls quickly and rises slowly, so that it follows the delay at free workers.
   double& usual = fleet_.ZoneOf(worker).usual_start_delay;
   usual += (delay < usual || usual == 0.0 ? 0.5 : 0.01) * (delay - usual);
   return usual;
--- a/src/dispatch/worker_pool.h
+++ b/src/dispatch/worker_pool.h
@@ -10,6 +10,7 @@
 
 class WorkerPool {
  public:
+  // Adds the worker with this index in the fleet. Workers must be added in the order of their ring positions.
   void Add(int worker, double weight) {
     workers_.push_back(worker);
     cumulative_weights_.push_back(total_weight() + std::max(weight, 1e-6));
@@ -20,7 +21,7 @@
   int operator[](std::size_t position) const { return workers_[position]; }
   auto begin() const { return workers_.begin(); }
   auto end() const { return workers_.end(); }
-  // The worker at this quantile, 0 to 1, of the weights; the pool must not be empty.
+  // The worker at this quantile, 0 to 1, of the cumulative weights; the pool must not be empty.
   int AtQuantile(double quantile) const {
     const auto found = std::upper_bound(cumulative_weights_.begin(), cumulative_weights_.end(),
                                         quantile * cumulative_weights_.back());
--- a/src/dispatch/worker_selection.cpp
+++ b/src/dispatch/worker_selection.cpp
@@ -9,12 +9,14 @@
 namespace aldersill::dispatch {
 namespace {
 
-// Running times lost where a key's data is not at the worker: the job's own, those queued behind it, and
-// those whose data is evicted.
+// Time lost if the worker does not have the data of the job's key, in mean running times of the class. It is
+// lost by the job itself, by the jobs queued behind it and by the jobs whose data is evicted.
 constexpr double kFetchDelay = 1.5;
-// Value lost by other jobs per running time of waiting that a job adds to a worker.
+// Priority weight that other jobs lose for each mean running time of waiting that a job adds to a worker, as
+// a share of the job's own.
 constexpr double kWaitPrice = 0.3;
-// Costs this close count as equal, or the worker with the least cost would be chosen again and again.
+// Costs that differ by no more than this count as equal. Without this tolerance the worker with the lowest
+// cost would be chosen again and again.
 constexpr double kEqualCost = 0.01;
 
 }  // namespace
@@ -24,18 +26,18 @@
   Search search{.request = request};
   if (job_class.repeat == Repeat::kKeyed && job_class.scope != KeyScope::kAll &&
       request.FirstWorkerThatMayHaveRun() != kNoWorker)
-    search.anchor = &fleet_.worker(request.FirstWorkerThatMayHaveRun());
-  const bool bound = search.anchor != nullptr;
+    search.scope_worker = &fleet_.worker(request.FirstWorkerThatMayHaveRun());
+  const bool is_bound = search.scope_worker != nullptr;
   const int other_zone = (fleet_.home() + 1 + context_.random().Draw(fleet_.zones() - 1)) % fleet_.zones();
   search.warming_worker = slow_start_.DrawWorker(request);
   if (search.warming_worker != kNoWorker && IsEligible(search, search.warming_worker, Candidates::kPreferred))
     return search.warming_worker;
 
   const WorkerPool& nearest = NearestPool(search);
-  if (request.key && !bound && !nearest.empty())
+  if (request.key && !is_bound && !nearest.empty())
     SampleKeyOwners(&search, nearest);
-  Sample(&search, nearest, bound ? 4 * kSampledWorkers : kSampledWorkers, Candidates::kPreferred);
-  if (bound)
+  Sample(&search, nearest, is_bound ? 4 * kSampledWorkers : kSampledWorkers, Candidates::kPreferred);
+  if (is_bound)
     return search.best;
   Sample(&search, fleet_.InZone(job_class.kind, other_zone), kSampledWorkers, Candidates::kPreferred);
   for (const int index : fleet_.recent_reporters())
@@ -45,30 +47,34 @@
   return search.best;
 }
 
+// The first pool to sample: the cell or zone that the request is bound to, or else the home zone.
 const WorkerPool& WorkerSelection::NearestPool(const Search& search) const {
   const ClassSettings& job_class = context_.settings().classes[search.request.job_class];
-  if (search.anchor == nullptr)
+  if (search.scope_worker == nullptr)
     return fleet_.InZone(job_class.kind, fleet_.home());
   if (job_class.scope == KeyScope::kCell)
-    return fleet_.InCell(search.anchor->cell);
-  return fleet_.InZone(job_class.kind, search.anchor->zone);
+    return fleet_.InCell(search.scope_worker->cell);
+  return fleet_.InZone(job_class.kind, search.scope_worker->zone);
 }
 
-// Jobs of one key are offered to the same few workers on every node, which keep its data: twice as many as
-// its share of the traffic fills, or a popular key would overload them.
+// Considers the owners of the request's key. Every node computes the same few owners, so these workers keep
+// the key's data. A key has twice as many owners as its share of the traffic keeps busy, because a popular
+// key would overload fewer.
 void WorkerSelection::SampleKeyOwners(Search* search, const WorkerPool& pool) {
   const std::uint64_t key = *search->request.key;
-  const std::size_t owners = 1 + static_cast<std::size_t>(2.0 * keys_.ShareOf(key) * pool.size());
-  const std::size_t count = std::min<std::size_t>(owners, 2 * kSampledWorkers);
-  const std::size_t first = context_.random().Draw(owners);
+  const std::size_t owner_count = 1 + static_cast<std::size_t>(2.0 * keys_.ShareOf(key) * pool.size());
+  const std::size_t count = std::min<std::size_t>(owner_count, 2 * kSampledWorkers);
+  const std::size_t first = context_.random().Draw(owner_count);
   for (std::size_t i = 0; i < count; ++i) {
-    const std::uint64_t owner = (first + i * (owners / count)) % owners;
+    const std::uint64_t owner = (first + i * (owner_count / count)) % owner_count;
     Consider(search, fleet_.AtRingPosition(pool, Mix(key + owner)), Candidates::kPreferred,
              kFetchDelay / 2.0);
   }
 }
 
-// Samples by the listed weights, because a node that sends to a worker once in minutes never learns its size.
+// Considers up to `count` workers of the pool, taken at evenly spaced quantiles of the listed weights from a
+// random start. The listed weights are used because a node that sends to a worker only once in several
+// minutes never learns its size.
 void WorkerSelection::Sample(Search* search, const WorkerPool& pool, std::size_t count,
                              Candidates candidates) {
   count = std::min(pool.size(), count);
@@ -77,6 +83,8 @@
     Consider(search, pool.AtQuantile(std::fmod(first + 1.0 * i / count, 1.0)), candidates, kFetchDelay);
 }
 
+// Makes the worker the best candidate if it is eligible and its cost is lower than that of the best one so
+// far. `fetch_delay` applies if the worker does not have the data of the request's key.
 void WorkerSelection::Consider(Search* search, int index, Candidates candidates, double fetch_delay) const {
   if (!IsEligible(*search, index, candidates))
     return;
@@ -90,6 +98,7 @@
   search->best_cost = cost;
 }
 
+// Whether the worker may run the request's next attempt.
 bool WorkerSelection::IsEligible(const Search& search, int index, Candidates candidates) const {
   const Worker& worker = fleet_.worker(index);
   const bool preferred = candidates == Candidates::kPreferred;
@@ -107,39 +116,46 @@
   return !IsWarmingUp(context_, worker) || index == search.warming_worker;
 }
 
-// Where a keyed request may have run, only that worker's zone or cell drops its repeats.
+// Whether the worker is in the deduplication scope that the request is bound to, if any. If a keyed request
+// may have run, repeats of it are recognized and dropped only in the zone or cell of the worker that may have
+// run it.
 bool WorkerSelection::IsInScope(const Search& search, const Worker& worker) const {
-  if (search.anchor == nullptr)
+  if (search.scope_worker == nullptr)
     return true;
-  if (worker.zone != search.anchor->zone)
+  if (worker.zone != search.scope_worker->zone)
     return false;
   const ClassSettings& job_class = context_.settings().classes[search.request.job_class];
-  return job_class.scope != KeyScope::kCell || worker.cell == search.anchor->cell;
+  return job_class.scope != KeyScope::kCell || worker.cell == search.scope_worker->cell;
 }
 
-// The expected cost of sending the request there: the chance that the answer comes late or never, as a share
-// of its value, and the price of crossing zones. `fetch_delay` is in mean running times of the class.
+// The expected cost of sending the request to the worker, as a share of the request's priority weight. It
+// consists of the probability that the answer comes late or never, the waiting that the job causes to others,
+// and the price of crossing zones. `fetch_delay` is in mean running times of the class, as are the other
+// times here.
 double WorkerSelection::Cost(const Request& request, Worker* worker, double fetch_delay) const {
   estimates_.Decay(worker);
   const ClassSettings& job_class = context_.settings().classes[request.job_class];
   const double run_time = run_times_.Mean(request.job_class);
   const double missing_slots = request.slots - estimates_.FreeSlots(*worker);
-  // A smooth maximum of 0 and the missing slots.
-  const double wait = missing_slots > 8.0 ? missing_slots : std::log1p(std::exp(2.0 * missing_slots)) / 2.0;
+  // Slots that have to become free before the job starts: a smooth maximum of 0 and the missing slots.
+  const double awaited_slots =
+      missing_slots > 8.0 ? missing_slots : std::log1p(std::exp(2.0 * missing_slots)) / 2.0;
   const bool crosses_zones = worker->zone != fleet_.home();
   double delay = fetch_delay;
   if (crosses_zones) {
-    const double slower = fleet_.ZoneOf(*worker).usual_start_delay - fleet_.home_zone().usual_start_delay;
-    delay += std::max(0.0, slower) / run_time;
+    const double extra_start_delay =
+        fleet_.ZoneOf(*worker).usual_start_delay - fleet_.home_zone().usual_start_delay;
+    delay += std::max(0.0, extra_start_delay) / run_time;
   }
-  // The time left for waiting, against the expected wait, which is taken as exponentially distributed.
-  const double left =
+  // The job may wait this long and still be answered in time. The wait is taken as exponentially distributed
+  // around its expected value.
+  const double allowed_wait =
       std::max(0.1, job_class.target / run_time + job_class.stretch - worker->run_time_ratio - delay);
-  const double queueing = worker->run_time_ratio * wait / fleet_.KindOf(*worker).slots;
-  const double late = std::exp(-left / (queueing + 0.05));
-  // A slot taken at a worker with few free ones delays the next job, so workers with more free slots are
-  // preferred even if no job is late.
-  return 1.0 - (1.0 - late) * (1.0 - worker->error_rate) + kWaitPrice * (queueing + delay) +
+  const double expected_wait = worker->run_time_ratio * awaited_slots / fleet_.KindOf(*worker).slots;
+  const double late_probability = std::exp(-allowed_wait / (expected_wait + 0.05));
+  // A job that takes a slot at a worker with few free ones delays the next job there. The wait therefore has
+  // a price of its own, so that workers with more free slots are preferred even if no job would be late.
+  return 1.0 - (1.0 - late_probability) * (1.0 - worker->error_rate) + kWaitPrice * (expected_wait + delay) +
          (crosses_zones ? context_.settings().price_cross_zone : 0.0);
 }
 
--- a/src/dispatch/worker_selection.h
+++ b/src/dispatch/worker_selection.h
@@ -1,5 +1,5 @@
-// Chooses the worker for an attempt: of a few sampled ones that may run it, the one with the least expected
-// cost.
+// Chooses the worker for an attempt: samples a few workers that may run it and takes the one with the lowest
+// expected cost.
 #ifndef ALDERSILL_SRC_DISPATCH_WORKER_SELECTION_H_
 #define ALDERSILL_SRC_DISPATCH_WORKER_SELECTION_H_
 
@@ -29,23 +29,24 @@
         ejection_(ejection),
         slow_start_(slow_start) {}
 
-  // The index of the worker that the request's next attempt should go to, or kNoWorker.
+  // Returns the index of the worker that the request's next attempt should go to, or kNoWorker if none of the
+  // sampled workers may run it.
   int Select(const Request& request);
 
  private:
-  // One choice in progress.
+  // The state of one choice.
   struct Search {
     const Request& request;
-    // Where a keyed request that may have run is bound to its deduplication scope: a worker inside it; else
-    // null.
-    const Worker* anchor = nullptr;
-    int warming_worker = kNoWorker;  // the only one that warms up and may be chosen
-    int best = kNoWorker;
-    double best_cost = 0.0;
+    // If the request is keyed, may have run, and repeats are recognized only within a zone or cell: the
+    // worker that may have run it, whose zone or cell all further attempts must go to. Otherwise null.
+    const Worker* scope_worker = nullptr;
+    int warming_worker = kNoWorker;  // the only warming-up worker that may be chosen
+    int best = kNoWorker;            // the best candidate so far
+    double best_cost = 0.0;          // cost of the best candidate
   };
   enum class Candidates {
-    kPreferred,   // neither ejected nor tried before
-    kLastResort,  // ejected and tried ones too
+    kPreferred,   // workers that are not ejected and have had no attempt of the request
+    kLastResort,  // also ejected workers and those with an ended attempt of the request
   };
 
   bool IsEligible(const Search& search, int index, Candidates candidates) const;
--- a/tests/dispatch/module_parts.h
+++ b/tests/dispatch/module_parts.h
@@ -1,4 +1,5 @@
-// The decision module's parts wired as in the dispatcher, for tests of single ones.
+// Creates the parts of the decision module and connects them as the dispatcher does, for tests of single
+// parts.
 #ifndef ALDERSILL_TESTS_DISPATCH_MODULE_PARTS_H_
 #define ALDERSILL_TESTS_DISPATCH_MODULE_PARTS_H_
 
@@ -49,17 +50,19 @@
     AdvanceTo(1000 * kSecond);
   }
 
-  // Starts the handling of an event at this time; earlier actions are dropped.
+  // Starts the handling of an event at this time and discards the actions of the previous one.
   void AdvanceTo(Micros now) {
     actions.clear();
     context.BeginEvent(now, &actions);
   }
   void Advance(Micros time) { AdvanceTo(context.now() + time); }
+  // Applies a worker list as the dispatcher does.
   void Apply(std::vector<WorkerEntry> workers, WorkerList::Form form = WorkerList::Form::kFull) {
     fleet.Apply({form, std::move(workers)});
     slow_start.UpdateWorkers();
   }
   Worker& WorkerNamed(const std::string& name) { return fleet.worker(fleet.Find(name)); }
+  // Adds a request that arrives now; it is not admitted.
   Request& AddRequest(int id, int job_class, Micros time_left = 5 * kSecond) {
     Request& request = requests.Add(RequestId{static_cast<std::uint64_t>(id)});
     request.job_class = job_class;
--- a/tests/dispatch/rate_and_price_test.cpp
+++ b/tests/dispatch/rate_and_price_test.cpp
@@ -1,4 +1,5 @@
-// The parts that set the throttle's rate and prices: running times, arrival rate, job pricing, rate control.
+// Tests of the parts that determine the throttle's rate and prices: running times, arrival rate, job pricing
+// and rate control.
 #include <gtest/gtest.h>
 
 #include "module_parts.h"
@@ -74,13 +75,14 @@
     const int price_of_long = pricing.PriceArrival({.job_class = kUnsafeClass});
     EXPECT_EQ(price_of_short, 1);
     if (by_work) {
-      EXPECT_EQ(price_of_long, 1);  // a weight for each unit of work: the length is in it already
+      EXPECT_EQ(price_of_long, 1);  // a weight per unit of work already accounts for the length
     } else {
       EXPECT_GT(price_of_long, 3);
     }
   }
 }
 
+// Settings with one tenant that has this quota.
 Settings OneQuota(double per_second) {
   Settings settings = BasicSettings();
   settings.tenants = {{"only", 1.0, per_second}};
@@ -99,7 +101,7 @@
   ModuleParts parts;
   parts.Apply({Entry("a"), Entry("b"), Entry("c"), Entry("d")});
   parts.rate.Begin();
-  EXPECT_DOUBLE_EQ(parts.rate.rate(), 20.0);  // four slots, jobs of 0.2 s
+  EXPECT_DOUBLE_EQ(parts.rate.rate(), 20.0);  // four workers with one slot each run jobs of 0.2 s
 }
 
 TEST(RateControl, FallsOnFailuresToAnEighthAndReturnsWithTimelyStarts) {
--- a/tests/dispatch/retry_policy_test.cpp
+++ b/tests/dispatch/retry_policy_test.cpp
@@ -1,4 +1,5 @@
-// Whether further attempts may start, what a final answer may promise, and which attempts are cancelled.
+// Tests whether further attempts may start, what a final answer may promise, and which attempts are
+// cancelled.
 #include "dispatch/retry_policy.h"
 
 #include <gtest/gtest.h>
@@ -69,7 +70,7 @@
   request.job_class = kRepeatableClass;
   EXPECT_TRUE(IsRejectionSafe(settings, request));
   request.job_class = kKeyedClass;
-  EXPECT_FALSE(IsRejectionSafe(settings, request));  // its scope is a cell
+  EXPECT_FALSE(IsRejectionSafe(settings, request));  // the scope of its key is a cell
   settings.classes[kKeyedClass].scope = KeyScope::kAll;
   EXPECT_TRUE(IsRejectionSafe(settings, request));
 }
--- a/tests/dispatch/selection_test.cpp
+++ b/tests/dispatch/selection_test.cpp
@@ -1,4 +1,4 @@
-// Choice of a worker and slow start.
+// Tests of the choice of a worker and of slow start.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,6 +10,7 @@
 namespace aldersill::dispatch::testing {
 namespace {
 
+// The name of the worker that is selected for the request, or an empty string if there is none.
 std::string Selected(ModuleParts* parts, const Request& request) {
   const int index = parts->selection.Select(request);
   return index == kNoWorker ? "" : parts->fleet.worker(index).name;
@@ -82,7 +83,7 @@
 }
 
 TEST(SlowStart, CapacityGrowsEvenlyWhileWarmingUp) {
-  Settings settings = BasicSettings();  // warm after 20 s
+  Settings settings = BasicSettings();  // workers are warm after 20 s
   settings.cold_capacity_share = 0.2;
   ModuleParts parts(settings);
   WorkerEntry starting = Entry("starting");
@@ -96,7 +97,8 @@
   EXPECT_FALSE(IsWarmingUp(parts.context, parts.WorkerNamed("starting")));
 }
 
-// Draws for jobs that arrive ten times a second over this time; returns how many go to the warming-up worker.
+// Draws workers for jobs that arrive ten times a second for this time. Returns the number of jobs that go to
+// the warming-up worker.
 int DrawnJobs(ModuleParts* parts, int seconds, int slots) {
   int drawn = 0;
   Request& request = parts->AddRequest(1, kUnsafeClass);
@@ -123,8 +125,8 @@
   starting.since = parts.context.now();
   parts.Apply({starting});
   parts.slow_start.Begin();
-  // Jobs of 0.2 s in one slot: five a second when warm, half of it now, times three: 7.5 are bearable in a
-  // window.
+  // When warm, the worker runs five jobs of 0.2 s a second in its one slot; now it has half of that capacity.
+  // With an overload factor of 3, the limit is 7.5 jobs in a window of one second.
   const double variability = 1.3;
   const double root = std::sqrt(4.0 * variability + 7.5) - std::sqrt(4.0 * variability);
   const double expected = 0.75 * root * root * 100;
@@ -148,7 +150,7 @@
   starting.since = parts.context.now();
   parts.Apply({starting});
   parts.slow_start.Begin();
-  EXPECT_EQ(DrawnJobs(&parts, 10, 2), 0);  // two slots: twice a mean job
+  EXPECT_EQ(DrawnJobs(&parts, 10, 2), 0);  // a job of two slots is twice as large as the mean job
 }
 
 TEST(SlowStart, WarmAndDrainingWorkersAreNotDrawn) {
--- a/tests/dispatch/token_bank_test.cpp
+++ b/tests/dispatch/token_bank_test.cpp
@@ -1,4 +1,4 @@
-// The throttle's banks, buffers and the division of the token stream.
+// Tests of the throttle's banks and buffers and of the division of the token stream among tenants.
 #include <gtest/gtest.h>
 
 #include "module_parts.h"
@@ -20,14 +20,14 @@
   EXPECT_EQ(bank.Counter(stream), 4 - 2 + 3);
 }
 
-// Ten tokens a second.
+// Settings with two tenants, whose quotas give ten tokens a second together.
 Settings TwoTenants(double first_share, double second_share) {
   Settings settings = BasicSettings();
   settings.tenants = {{"first", first_share, 5.0}, {"second", second_share, 5.0}};
   return settings;
 }
 
-// Admits jobs of one tenant until its buffer takes one; returns the number that was paid at once.
+// Admits jobs of one tenant until one is not paid at once. Returns the number of jobs that were paid at once.
 int FillBuffer(ModuleParts* parts, int tenant, int first_id) {
   for (int id = first_id;; ++id) {
     Request& request = parts->AddRequest(id, kRepeatableClass);
@@ -41,7 +41,8 @@
   ModuleParts parts(TwoTenants(0.5, 0.5));
   parts.rate.Begin();
   parts.throttle.Begin();
-  // The highest price, eight jobs, five tokens and twice their square root.
+  // The capacity is the highest price (1) plus eight mean jobs, the five tokens of a second and twice the
+  // square root of five (17 in all).
   EXPECT_EQ(FillBuffer(&parts, 0, 1), (1 + 17) / 2);
 }
 
@@ -95,20 +96,20 @@
   parts.rate.Begin();
   parts.throttle.Begin();
   FillBuffer(&parts, 0, 100);
-  EXPECT_NE(parts.throttle.AddToken(0), nullptr);  // pays for the only one that is buffered
-  Request& wide = parts.AddRequest(1, kRepeatableClass);
-  wide.price = 3;
-  ASSERT_EQ(parts.throttle.Admit(&wide), Throttle::Admission::kBuffered);
+  EXPECT_NE(parts.throttle.AddToken(0), nullptr);  // completes the price of the only buffered job
+  Request& expensive = parts.AddRequest(1, kRepeatableClass);
+  expensive.price = 3;
+  ASSERT_EQ(parts.throttle.Admit(&expensive), Throttle::Admission::kBuffered);
   EXPECT_EQ(parts.throttle.AddToken(0), nullptr);
-  EXPECT_EQ(parts.throttle.RemoveFromBuffer(wide), 1);
-  EXPECT_EQ(parts.throttle.RemoveFromBuffer(wide), 0);
+  EXPECT_EQ(parts.throttle.RemoveFromBuffer(expensive), 1);
+  EXPECT_EQ(parts.throttle.RemoveFromBuffer(expensive), 0);
   EXPECT_TRUE(parts.throttle.buffered(0).empty());
 }
 
 TEST(Throttle, UnlistedTenantsShareOneBank) {
   const ModuleParts parts(TwoTenants(0.5, 0.5));
   EXPECT_EQ(parts.throttle.TenantOf("second"), 1);
-  EXPECT_EQ(parts.throttle.TenantOf("stranger"), 2);
+  EXPECT_EQ(parts.throttle.TenantOf("unlisted"), 2);
   EXPECT_EQ(parts.throttle.TenantOf(""), 2);
 }
 
--- a/tests/dispatch/worker_parts_test.cpp
+++ b/tests/dispatch/worker_parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts that follow workers: fleet, estimates, ejection, unresponsive workers, endpoint-list polling.
+// Tests of the parts that track workers: fleet, estimates, ejection, unresponsive workers and endpoint-list
+// polling.
 #include <gtest/gtest.h>
 
 #include "module_parts.h"
@@ -141,7 +142,7 @@
   EXPECT_FALSE(parts.ejection.IsEjected(parts.WorkerNamed("b")));
 }
 
-// The answer to a job of BasicSettings() may take 1.5 x (0.4 s + 0.2 s).
+// Time within which a job of BasicSettings() must be answered, in microseconds: 1.5 x (0.4 s + 0.2 s).
 constexpr Micros kAnswerTimeout = 900'000;
 
 TEST(UnresponsiveWorkers, ASilentWorkerIsEjectedAndItsAttemptCancelled) {
@@ -154,7 +155,7 @@
   parts.Advance(kAnswerTimeout / 2);
   parts.unresponsive_workers.CheckAttempts(&request);
   EXPECT_FALSE(parts.ejection.IsEjected(parts.WorkerNamed("a")));
-  ASSERT_EQ(Count<SetTimer>(parts.actions), 1);  // to look again
+  ASSERT_EQ(Count<SetTimer>(parts.actions), 1);  // for the next check
   EXPECT_EQ(Only<SetTimer>(parts.actions)[0].delay, kAnswerTimeout / 2);
   parts.Advance(kAnswerTimeout / 2);
   parts.unresponsive_workers.CheckAttempts(&request);
@@ -220,7 +221,7 @@
     EXPECT_GE(Only<SetTimer>(parts.actions)[0].delay, backoff);
     EXPECT_LE(Only<SetTimer>(parts.actions)[0].delay, 2 * backoff);
   }
-  parts.list_polling.RecordList(WorkerList::Form::kCached);  // from before: the subscription is not confirmed
+  parts.list_polling.RecordList(WorkerList::Form::kCached);  // does not confirm the subscription
   parts.Advance(kSecond);
   parts.list_polling.Poll();
   EXPECT_EQ(Count<SubscribeList>(parts.actions), 1);
@@ -238,7 +239,7 @@
   parts.list_polling.RecordList(WorkerList::Form::kFailed);
   parts.list_polling.RecordList(WorkerList::Form::kFailed);
   EXPECT_EQ(Count<SetTimer>(parts.actions), 1);
-  EXPECT_EQ(Count<Log>(parts.actions), 1);  // the second within ten seconds is dropped
+  EXPECT_EQ(Count<Log>(parts.actions), 1);  // the second line within ten seconds is dropped
 }
 
 }  // namespace
