--- a/src/budgets/codec.cpp
+++ b/src/budgets/codec.cpp
@@ -41,16 +41,16 @@
 
 // Rejects negative quantities and those above 53 bits: quantities are added up, and the sum must not
 // overflow.
-Units ReadUnits(MessageFields& in) { return static_cast<Units>(in.Number53()); }
+Units ReadUnits(MessageFields& in) { return static_cast<Units>(in.TakeUint53()); }
 
 QuotaRequest ReadQuotaRequest(MessageFields& in) {
   QuotaRequest request;
-  request.epoch = in.Number53();
-  request.number = in.Number53();
+  request.epoch = in.TakeUint53();
+  request.number = in.TakeUint53();
   request.digest = in.Take<std::uint64_t>();
   request.weight = in.Take<std::uint32_t>();
   request.leaving = in.Take<bool>();
-  request.lines = in.List<QuotaRequestLine>([](MessageFields& item) {
+  request.lines = in.TakeList<QuotaRequestLine>([](MessageFields& item) {
     QuotaRequestLine line;
     line.demand = ReadUnits(item);
     line.share = ReadUnits(item);
@@ -63,11 +63,11 @@
 
 QuotaGrant ReadQuotaGrant(MessageFields& in) {
   QuotaGrant grant;
-  grant.term = in.Number53();
-  grant.epoch = in.Number53();
-  grant.number = in.Number53();
+  grant.term = in.TakeUint53();
+  grant.epoch = in.TakeUint53();
+  grant.number = in.TakeUint53();
   grant.duration = ReadUnits(in);
-  grant.lines = in.List<QuotaGrantLine>([](MessageFields& item) {
+  grant.lines = in.TakeList<QuotaGrantLine>([](MessageFields& item) {
     QuotaGrantLine line;
     line.share = ReadUnits(item);
     line.window = item.Take<std::uint64_t>();
@@ -95,7 +95,7 @@
     } else {
       message = ReadQuotaGrant(in);
     }
-    in.End();
+    in.ExpectEnd();
     return message;
   });
 }
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -42,8 +42,8 @@
 }
 
 void CheckName(const std::string& name) {
-  if (name.empty() || name.size() > kMostMessageName)
-    throw ConfigError("name must have 1 to " + std::to_string(kMostMessageName) +
+  if (name.empty() || name.size() > kMaxMessageNameBytes)
+    throw ConfigError("name must have 1 to " + std::to_string(kMaxMessageNameBytes) +
                       " bytes when membership is enabled");
 }
 
--- a/src/duties/codec.cpp
+++ b/src/duties/codec.cpp
@@ -23,8 +23,8 @@
   out.pack(holder.epoch);
 }
 // Braced initializers are evaluated from left to right, which is the order of the fields in the message.
-Ballot TakeBallot(MessageFields& in) { return {in.Number53(), in.Name()}; }
-Holder TakeHolder(MessageFields& in) { return {in.Name(), in.Number53()}; }
+Ballot TakeBallot(MessageFields& in) { return {in.TakeUint53(), in.TakeName()}; }
+Holder TakeHolder(MessageFields& in) { return {in.TakeName(), in.TakeUint53()}; }
 
 // Encoded as the holder of a promise that has none, because every field of a message is always present.
 const Holder kNoHolder{"-", 0};
@@ -111,7 +111,7 @@
     ProbeResult result;
     result.worker = worker;
     result.stamp = in.Take<std::uint64_t>();
-    result.origin = in.Name();
+    result.origin = in.TakeName();
     const auto outcome = in.Take<std::uint8_t>();
     if (outcome >= kOutcomeCount)
       throw std::runtime_error("probe result: unknown outcome");
@@ -122,7 +122,7 @@
       if ((mask >> i & 1U) != 0)
         result.report.*kReportFields[i] = in.Take<float>();
     }
-    in.End();
+    in.ExpectEnd();
     return result;
   });
 }
@@ -141,12 +141,12 @@
   return UnpackMessage<DutyMessage>(bytes, [](const msgpack::object& object) {
     MessageFields in(object);
     DutyMessage message;
-    message.duty = in.Name();
+    message.duty = in.TakeName();
     const auto kind = in.Take<std::uint32_t>();
     if (kind >= std::size(kFieldCounts))
       throw std::runtime_error("duty message: unknown kind of lease message");
     message.message = TakeMessage(kind, in);
-    in.End();
+    in.ExpectEnd();
     return message;
   });
 }
--- a/src/http/attempt_request.cpp
+++ b/src/http/attempt_request.cpp
@@ -7,7 +7,7 @@
 namespace aldersill {
 namespace {
 
-// A value is sent as it was received, without the characters that would end its line.
+// The value is sent as it was received, except for CR and LF, which would end the header line.
 std::string HeaderLine(std::string_view name, std::string_view value) {
   std::string line = std::string(name) + ": ";
   for (const char character : value) {
--- a/src/http/attempt_request.h
+++ b/src/http/attempt_request.h
@@ -8,9 +8,10 @@
 
 namespace aldersill {
 
-// An attempt at `job`. `address`: the worker's, "address:port". `time_left`: until the job's deadline.
+// The request for an attempt at `job`. `address`: the worker's, "address:port". `time_left`: until the job's
+// deadline.
 std::string EncodeAttemptRequest(const Job& job, const std::string& address, Micros time_left);
-// A health check, which is answered with a load report.
+// The request for a health check, which the worker answers with a load report.
 std::string EncodeProbeRequest(const std::string& address);
 
 }  // namespace aldersill
--- a/src/http/connect_probe.h
+++ b/src/http/connect_probe.h
@@ -1,4 +1,5 @@
-// Checks whether anybody listens at an endpoint, by a TCP connect that sends nothing and is closed at once.
+// Checks whether a process listens at an endpoint, with a TCP connection that is closed immediately and
+// carries no data.
 #ifndef ALDERSILL_SRC_HTTP_CONNECT_PROBE_H_
 #define ALDERSILL_SRC_HTTP_CONNECT_PROBE_H_
 
@@ -15,8 +16,8 @@
 class ConnectProbe {
  public:
   // `done` is called once for each Start that is not cancelled, never from within Start. `refused` is true
-  // only if the kernel says so of this very connect: one that succeeded, was reset later, or timed out may
-  // have reached somebody.
+  // only if the kernel reports this connect as refused: a connect that succeeded, timed out or failed
+  // otherwise may have reached a listener.
   ConnectProbe(event_base* base, const Endpoint& endpoint, std::function<void(bool refused)> done);
   ~ConnectProbe() { Cancel(); }
   ConnectProbe(const ConnectProbe&) = delete;
@@ -29,7 +30,7 @@
 
  private:
   static void OnWritable(evutil_socket_t fd, short what, void* self);
-  // Reports the result in the event loop's next turn.
+  // Reports the result in the next iteration of the event loop.
   void FinishLater(int error);
   void Finish(int error);
 
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMaxBodyBytes = std::size_t{4} << 20;
-constexpr int kLibraryTimeoutSeconds = 70;  // evhttp's own; the scheduler's timeouts are shorter
+constexpr int kEvhttpTimeoutSeconds = 70;  // longer than the scheduler's timeouts
 
 void SetNoDelay(evhttp_connection* connection) {
   const evutil_socket_t fd = bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
@@ -40,12 +40,12 @@
       endpoint_(endpoint),
       sink_(sink),
       scheduler_(scheduler),
-      // Polls are sent by timer, not from within evhttp's callback, which still uses the connection.
+      // Polls are sent by a timer, because evhttp still uses the connection during its own callback.
       poll_timer_(base, [this] { SendPoll(); }),
       probe_timer_(base, [this] { probe_.Start(); }),
       probe_(base, endpoint, [this](bool refused) { HandleProbeResult(refused); }),
       version_(known_version) {
-  // A previous client that has had no answer yet is dropped in favour of the one before it.
+  // A previous client without a working watch is dropped in favour of the one before it.
   if (previous != nullptr)
     previous_ = previous->watch_open_ ? std::move(previous) : std::move(previous->previous_);
   if (previous_ != nullptr)
@@ -56,9 +56,9 @@
 }
 
 DiscoveryClient::~DiscoveryClient() {
-  // Otherwise freeing the connection would report the end of a poll that nobody waits for.
+  // Without this, freeing a connection would report the end of its outstanding poll to this object.
   for (PollConnection& poll : polls_)
-    Cancel(&poll, "discovery is not watched here any more");
+    Cancel(&poll, "the watch was stopped");
 }
 
 void DiscoveryClient::Supersede(DiscoveryClient* successor) {
@@ -89,7 +89,7 @@
 
 void DiscoveryClient::Schedule() {
   const Micros now = SteadyNow();
-  // A superseded client renews polls that are answered at once and retries none.
+  // A superseded client continues its watch as long as it is answered, and retries no failed poll.
   const bool may_poll = state_ == State::kWatching || (superseded() && scheduler_.next_poll_wait() > 0);
   poll_timer_.Clear();
   if (may_poll && scheduler_.next_poll() != WatchScheduler::kNever)
@@ -108,7 +108,7 @@
 
 // ---- Log ----
 
-// An agent on this machine is polled several times a second.
+// Polls of an agent on this machine are logged at level debug: there are several a second.
 LogLevel DiscoveryClient::PollLogLevel() const {
   return scheduler_.pushed() ? LogLevel::kDebug : LogLevel::kInfo;
 }
@@ -122,7 +122,8 @@
        {"outstanding", OutstandingPolls()}});
 }
 
-// Which rule sets the end of the list's validity changes with each poll of a working watch; that is no news.
+// The rule that ends the list's validity changes with each poll of a working watch; such changes are not
+// logged.
 void DiscoveryClient::LogBoundChange() {
   const ListValidity validity = scheduler_.validity();
   const bool of_working_watch =
@@ -141,17 +142,18 @@
                        [](const PollConnection& poll) { return poll.request != nullptr; });
 }
 
-void DiscoveryClient::Cancel(PollConnection* poll, const char* why) {
+void DiscoveryClient::Cancel(PollConnection* poll, const char* reason) {
   if (poll->request == nullptr)
     return;
   evhttp_cancel_request(std::exchange(poll->request, nullptr));
   Log(PollLogLevel(), "discovery_poll_cancelled",
-      {{"why", why},
+      {{"why", reason},
        {"wait_ms", poll->wait / kMillisecond},
        {"took_ms", (SteadyNow() - poll->sent_at) / kMillisecond}});
 }
 
-// The connection that answered last if it is free, else another free one, else the one with the oldest poll.
+// Returns the connection that answered last if it is free, otherwise another free one, otherwise the one with
+// the oldest poll.
 DiscoveryClient::PollConnection& DiscoveryClient::ChooseConnection() {
   PollConnection* chosen = last_answered_;
   for (PollConnection& other : polls_) {
@@ -169,7 +171,7 @@
   const PollConnection& newest = *std::max_element(
       polls_.begin(), polls_.end(),
       [&](const PollConnection& a, const PollConnection& b) { return sent_at(a) < sent_at(b); });
-  // Only the first is a warning: an agent that is silent is polled eight times a second.
+  // Only the first overdue poll is a warning, because a silent agent is polled eight times a second.
   Log(outstanding == 1 ? LogLevel::kWarning : LogLevel::kDebug, "discovery_overdue",
       {{"wait_ms", newest.wait / kMillisecond}, {"took_ms", (now - newest.sent_at) / kMillisecond}});
 }
@@ -182,7 +184,7 @@
     return false;
   evhttp_connection_set_max_body_size(poll->connection.get(), kMaxBodyBytes);
   evhttp_connection_set_retries(poll->connection.get(), 0);
-  evhttp_connection_set_timeout(poll->connection.get(), kLibraryTimeoutSeconds);
+  evhttp_connection_set_timeout(poll->connection.get(), kEvhttpTimeoutSeconds);
   return true;
 }
 
@@ -197,21 +199,21 @@
   const Micros now = SteadyNow();
   PollConnection& poll = ChooseConnection();
   LogOverduePoll(now);
-  Cancel(&poll, "its connection is needed");
+  Cancel(&poll, "its connection is needed for a new poll");
   poll.wait = scheduler_.next_poll_wait();
   poll.sent_at = now;
   LogPollSent(poll);
   scheduler_.PollSent(now);
   Schedule();
   if (!OpenConnection(&poll))
-    return HandleFailure(&poll, "no connection");
+    return HandleFailure(&poll, "evhttp cannot create a connection");
   poll.request = evhttp_request_new(&DiscoveryClient::OnPollDone, &poll);
   evhttp_add_header(evhttp_request_get_output_headers(poll.request), "Host", ToText(endpoint_).c_str());
-  // On failure evhttp frees the request and calls nobody.
+  // On failure evhttp frees the request and does not call OnPollDone.
   if (evhttp_make_request(poll.connection.get(), poll.request, EVHTTP_REQ_GET, PollPath(poll.wait).c_str()) !=
       0) {
     poll.request = nullptr;
-    HandleFailure(&poll, "cannot connect");
+    HandleFailure(&poll, "evhttp cannot send the request");
   }
 }
 
@@ -228,7 +230,7 @@
 void DiscoveryClient::HandleResponse(PollConnection* poll, evhttp_request* request) {
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (status == 0)
-    return HandleFailure(poll, "connection broke");
+    return HandleFailure(poll, "no HTTP response: the connection failed or broke");
   if (status != 200)
     return HandleFailure(poll, "answered " + std::to_string(status), true);
   EndpointListMessage message;
@@ -238,7 +240,7 @@
     return HandleFailure(poll, error.what(), true);
   }
   if (!message.full && !version_)
-    return HandleFailure(poll, "changes came before the whole list", true);
+    return HandleFailure(poll, "got changes before the first complete list", true);
   ApplyUpdate(poll, std::move(message));
 }
 
@@ -258,7 +260,7 @@
        {"full", message.full},
        {"entries", message.workers.size()},
        {"version", message.version}});
-  previous_.reset();  // its versions differ: no update of it may follow this list
+  previous_.reset();  // its versions are unrelated, so its updates must not be applied to this list
   version_ = message.version;
   watch_open_ = true;
   for (PollConnection& other : polls_)
@@ -276,11 +278,11 @@
   successor_->Schedule();
 }
 
-void DiscoveryClient::HandleFailure(PollConnection* poll, std::string_view reason, bool by_discovery) {
+void DiscoveryClient::HandleFailure(PollConnection* poll, std::string_view reason, bool answered_with_error) {
   const Micros now = last_poll_end_ = SteadyNow();
   const bool others_outstanding = OutstandingPolls() > 0;
-  scheduler_.PollFailed(now, poll->sent_at, by_discovery, others_outstanding);
-  // A watch at the previous address is expected to break.
+  scheduler_.PollFailed(now, poll->sent_at, answered_with_error, others_outstanding);
+  // The watch at the previous address is expected to break, so that is not a warning.
   Log(superseded() ? LogLevel::kInfo : LogLevel::kWarning,
       superseded() ? "previous_discovery_failed" : "discovery_failed",
       {{"why", std::string(reason)},
@@ -300,7 +302,7 @@
 void DiscoveryClient::HandleProbeResult(bool refused) {
   const Micros now = SteadyNow();
   const bool refused_before = std::exchange(probe_refused_, refused);
-  // Only the first of several refusals is a warning.
+  // Only the first of consecutive refusals is a warning.
   if (refused)
     Log(refused_before ? LogLevel::kDebug : LogLevel::kWarning, "discovery_refused",
         {{"valid_ms", (scheduler_.valid_until() - now) / kMillisecond}});
--- a/src/http/list_validity.h
+++ b/src/http/list_validity.h
@@ -1,4 +1,4 @@
-// Until when the endpoint list may be acted on, and which rule sets that time. Pure.
+// The time until which the endpoint list may be used for new jobs, and the rule that sets it.
 #ifndef ALDERSILL_SRC_HTTP_LIST_VALIDITY_H_
 #define ALDERSILL_SRC_HTTP_LIST_VALIDITY_H_
 
@@ -8,17 +8,17 @@
 
 namespace aldersill {
 
-// Why a change may count as notified that is not in the list.
+// The rule that ends the list's validity: why a change that is not in the list may count as notified.
 enum class ValidityBound {
-  kInitialList,      // nothing was polled since the start or the move
-  kOpenWatch,        // the watch may have fallen silent as soon as it was opened
-  kPollInterval,     // nothing is watched, since the last poll
+  kInitialList,      // no poll has been sent since the start or the move
+  kOpenWatch,        // the watch may have fallen silent as soon as its last poll was sent
+  kPollInterval,     // no watch is open, and the poll interval has passed since the last poll
   kAgentPoll,        // the agent on this machine has to be polled again
-  kAgentFailure,     // the agent has not been reached since a failed poll
+  kAgentFailure,     // the agent has not answered since a failed poll
   kCachedList,       // the list is from an earlier process
   kPreviousAddress,  // discovery has moved, and the list from its previous address was valid until then
-  kReload,           // a reload, after which all that discovery has counts
-  kFailedPoll,       // a poll failed, was refused or abandoned since the last answer
+  kReload,           // a reload, a fixed time after which all changes that discovery holds count as notified
+  kFailedPoll,       // a poll has failed, was refused or was abandoned since the last answer
 };
 
 struct ListValidity {
@@ -26,11 +26,12 @@
   ValidityBound bound = ValidityBound::kInitialList;
 };
 
+// The validity that ends first.
 constexpr ListValidity Earlier(const ListValidity& a, const ListValidity& b) {
   return b.until < a.until ? b : a;
 }
 
-// For logs.
+// The rule's name in the log.
 constexpr std::string_view NameOf(ValidityBound bound) {
   switch (bound) {
     case ValidityBound::kInitialList:
--- a/src/http/watch_scheduler.cpp
+++ b/src/http/watch_scheduler.cpp
@@ -22,8 +22,8 @@
     inherited_validity_ = {complete_at_ + kNotificationBound, ValidityBound::kCachedList};
 }
 
-// The bound of the reload holds beside all others, whatever else is allowed: rules.mustAskIn, which the list
-// of a dispatcher without a watch is held to, gives a later time than the reload does.
+// The reload's bound applies in addition to all others: rules.mustAskIn, which limits the list of a
+// dispatcher without a watch, would allow a later time than the reload does.
 void WatchScheduler::StartAtNewAddress(Micros now, Micros reloaded_at, const WatchScheduler& previous) {
   started_at_ = now;
   complete_at_ = previous.complete_at_;
@@ -34,7 +34,7 @@
       previous.poll_outstanding_ && previous.last_poll_wait_ == 0 && !previous.pushed();
   failed_since_answer_ = previous.failed_since_answer_ || first_poll_abandoned;
   if (pushed()) {
-    initial_list_valid_until_ = kNever;  // until an answer the reload alone bounds it
+    initial_list_valid_until_ = kNever;  // until the first answer, only the reload's bound applies
     return;
   }
   initial_list_valid_until_ = now + std::max<Micros>(0, settings_.max_poll_interval - kLongPollWait);
@@ -84,12 +84,14 @@
 
 void WatchScheduler::RecordOverduePoll() {
   overdue_since_answer_ = true;
-  // An agent is silent while discovery is down, and learns of no changes then.
+  // An agent is silent while discovery is down and learns of no changes then, so its silence is not a
+  // failure.
   failed_since_answer_ = failed_since_answer_ || !pushed();
 }
 
 void WatchScheduler::PollAnswered(Micros now, Micros sent_at) {
-  // A watch that is not overdue is read as it is written. Any other answer may have been long on its way.
+  // An answer on a watch that is not overdue is read as soon as it is written. Any other answer may have been
+  // delayed in transit, so its list is known to be complete only as of the time when the poll was sent.
   answered_on_watch_ = last_poll_wait_ > 0 && sent_at == last_poll_sent_at_ && now <= next_poll_;
   complete_at_ = answered_on_watch_ ? now : sent_at;
   poll_outstanding_ = overdue_since_answer_ = failed_since_answer_ = false;
@@ -99,7 +101,8 @@
   backoff_.Reset();
 }
 
-void WatchScheduler::PollFailed(Micros now, Micros sent_at, bool by_discovery, bool others_outstanding) {
+void WatchScheduler::PollFailed(Micros now, Micros sent_at, bool answered_with_error,
+                                bool others_outstanding) {
   failed_since_answer_ = true;
   poll_outstanding_ = others_outstanding;
   if (others_outstanding && sent_at != last_poll_sent_at_)
@@ -109,42 +112,43 @@
     agent_failed_at_ = std::min(agent_failed_at_, now);
     return;
   }
-  if (by_discovery) {
-    unreachable_since_ = kLongAgo;
+  if (answered_with_error) {
+    last_known_down_at_ = kLongAgo;
     return;
   }
-  // Changes that arrived on a watch before it broke were all, if it broke because discovery ended.
+  // If the watch broke because discovery went down, all changes made before that have arrived on it.
   if (last_poll_wait_ > 0 && answered_on_watch_ && !overdue_since_answer_)
-    unreachable_since_ = now;
+    last_known_down_at_ = now;
   next_probe_ = now;
 }
 
 Micros WatchScheduler::RetryDelay() {
   if (pushed())
     return backoff_.JitteredDelay(PushedResponseTimeout());
-  // A watch that ended with an error ended for all dispatchers: discovery is down, and all will poll. One
-  // that fell silent did so here alone and was opened anew at once; if that failed, many poll.
+  // If a watch ended with an error, discovery is down; all dispatchers have lost their watches and will poll.
+  // If a watch fell silent, only this dispatcher lost it, and it polled again immediately; if that poll
+  // failed too, many dispatchers are polling.
   return last_poll_wait_ > 0 && !overdue_since_answer_ ? backoff_.InitialDelay() : backoff_.NextRetryDelay();
 }
 
 // ---- Probes ----
 
 void WatchScheduler::ProbeRefused(Micros now) {
-  if (refusals_trusted_ && now - unreachable_since_ <= settings_.drain_grace)
-    complete_at_ = unreachable_since_ = now;
+  if (refusals_trusted_ && now - last_known_down_at_ <= settings_.drain_grace)
+    complete_at_ = last_known_down_at_ = now;
   last_poll_sent_at_ = now;
   last_poll_wait_ = 0;
   any_poll_sent_ = failed_since_answer_ = true;
-  next_poll_ = kNever;  // it would be refused too
+  next_poll_ = kNever;  // a poll would be refused as well
   next_probe_ = now + backoff_.JitteredDelay(kMaxProbeInterval);
 }
 
 void WatchScheduler::ProbeNotRefused(Micros now) {
-  unreachable_since_ = kLongAgo;
+  last_known_down_at_ = kLongAgo;
   next_probe_ = kNever;
   if (next_poll_ != kNever)
     return;
-  // Discovery is back, for all dispatchers at once.
+  // Discovery is reachable again, for all dispatchers at the same time.
   backoff_.Reset();
   next_poll_ = now + backoff_.InitialDelay();
 }
@@ -155,15 +159,16 @@
   ListValidity validity = pushed() ? PushedListValidity() : PolledListValidity();
   validity = Earlier(validity, inherited_validity_);
   validity = Earlier(validity, {reload_bound_, ValidityBound::kReload});
-  // Once a poll has failed, was abandoned or is overdue, every change that discovery could have notified
-  // counts, whatever the polls since then.
+  // Once a poll has failed, was abandoned or is overdue, any change that discovery has made since
+  // complete_at_ counts as notified after the bound, regardless of the polls sent since then.
   if (failed_since_answer_)
     validity = Earlier(validity, {complete_at_ + kNotificationBound, ValidityBound::kFailedPoll});
   return validity;
 }
 
-// What an agent has counts at once, and an agent is silent only while it learns nothing. One that fails
-// otherwise may have learned of a change: the list ends then unless the next poll is answered.
+// Changes that an agent holds count as notified immediately. An agent is silent only while it learns of no
+// changes. An agent that fails in any other way may have learned of a change, so the list expires unless the
+// next poll is answered.
 ListValidity WatchScheduler::PushedListValidity() const {
   if (!any_poll_answered_)
     return {initial_list_valid_until_, ValidityBound::kInitialList};
@@ -189,8 +194,9 @@
   return last_poll_wait_ > 0 ? kResponseTimeout : kFirstResponseTimeout;
 }
 
-// What an agent has at its return counts at once: a watch that fell silent before is noticed, and the next
-// poll answered, within the time in which a drain has to be heeded.
+// Changes that an agent holds when it comes back count as notified immediately. The wait and the response
+// timeout together are shorter than the drain grace, so that a watch that had fallen silent is detected and
+// the next poll answered within it.
 Micros WatchScheduler::PushedWait() const { return TenthsOfDrainGrace(5); }
 Micros WatchScheduler::PushedResponseTimeout() const { return TenthsOfDrainGrace(4); }
 
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -1,8 +1,9 @@
-// The HTTP/1.1 client for workers. Each attempt has a connection of its own: a worker may close a kept one at
-// any time, and a request that crosses that close is lost, maybe after it ran, while a handshake costs
-// milliseconds where a job takes seconds. It does not use evhttp's client, which cannot tell a request that
-// was never written completely from a connection that was reset after it, nor when a connection has come up
-// (both measured in docs/architecture.md).
+// The HTTP/1.1 client for workers. Each attempt uses a connection of its own: a worker may close a connection
+// that is kept open at any time, and a request sent just before that is lost, possibly after the worker has
+// run it. The additional handshake takes milliseconds, while a job takes seconds. The client does not use
+// evhttp, which does not distinguish a request that was never written completely from a connection that was
+// reset afterwards, and does not report when a connection has been established (both measured in
+// docs/architecture.md).
 #ifndef ALDERSILL_SRC_HTTP_WORKER_CLIENT_H_
 #define ALDERSILL_SRC_HTTP_WORKER_CLIENT_H_
 
@@ -26,40 +27,43 @@
   WorkerClient(const WorkerClient&) = delete;
   WorkerClient& operator=(const WorkerClient&) = delete;
 
-  // Connections that are open stay.
+  // Open connections are not affected.
   void ApplySettings(Micros dial_timeout, int max_connections);
 
-  // Connects, posts AttemptConnected, and writes nothing before Send. Posts AttemptEnded at once if it cannot
-  // connect.
+  // Connects to the worker and posts AttemptConnected; writes nothing before Send. Posts AttemptEnded
+  // immediately if no connection can be opened.
   void Start(const StartAttempt& start);
+  // Writes the attempt's request; does nothing if the attempt has no connection.
   void Send(const SendAttempt& send);
-  // Closes the attempt's connection, which is how the worker learns of it; nothing more is posted about it.
+  // Closes the attempt's connection, which tells the worker to stop. Nothing more is posted about the
+  // attempt.
   void Stop(AttemptId attempt);
 
-  // An attempt whose request is sent; nothing if it is not, or if the response so far is too long. It stays
-  // this client's until CompleteTransfer.
+  // The state of an attempt whose request has been sent completely; nothing if it has not, if the attempt has
+  // ended, or if the response so far is too long. This client keeps the attempt until CompleteTransfer.
   std::optional<TransferredAttempt> PrepareTransfer(AttemptId attempt) const;
-  // Another process has the attempt: closes this process's descriptor, and posts nothing.
+  // To be called when another process has taken over the attempt: closes this process's descriptor and posts
+  // nothing.
   void CompleteTransfer(AttemptId attempt);
-  // Continues an attempt of another process; takes ownership of its descriptor.
+  // Continues an attempt that another process has started; takes ownership of the descriptor.
   void ReceiveTransfer(AttemptId attempt, std::shared_ptr<const Job> job,
                        const TransferredAttempt& transferred);
 
   // Checks a worker's health and posts the result.
   void Probe(const ProbeWorker& probe);
-  // Calls `done` with the result instead, once, and maybe before it returns.
+  // Like the above, but calls `done` with the result, once, possibly before this function returns.
   using ProbeDone = WorkerConnection::ProbeDone;
   void Probe(const ProbeWorker& probe, ProbeDone done);
 
  private:
   void RemoveConnection(WorkerConnection* connection, std::optional<AttemptId> attempt) override;
 
-  // A connection that is being established; null if there can be none.
+  // Starts to connect; null if too many connections are open, the address is malformed or connecting fails.
   WorkerConnection* Dial(const std::string& address);
   std::unique_ptr<WorkerConnection> NewConnection(const std::string& address, EventPtr<bufferevent> stream);
   WorkerConnection* AddConnection(std::unique_ptr<WorkerConnection> connection);
   WorkerConnection* Find(AttemptId attempt) const;
-  // Closes the attempt's connection without a report; does nothing if there is none.
+  // Closes the attempt's connection and posts nothing; does nothing if the attempt has no connection.
   void Abandon(AttemptId attempt);
 
   event_base* base_;
--- a/src/http/worker_connection.cpp
+++ b/src/http/worker_connection.cpp
@@ -26,13 +26,15 @@
       reader_(address_),
       probe_timer_(base, [this] { FinishWithoutResponse(Outcome::kTimeout, "no answer in time"); }) {
   bufferevent_setcb(stream_.get(), &WorkerConnection::OnRead, nullptr, &WorkerConnection::OnEvent, this);
-  // The buffer's callback runs at once; the stream's own are deferred. Other events of the same turn of the
-  // loop, such as an update that the worker drains, must not find a request that is sent marked as unsent.
+  // The buffer's callback runs immediately, while the stream's own callbacks are deferred. Events handled in
+  // the same iteration of the event loop, such as an update that drains the worker, must not find a request
+  // that has been sent still marked as unsent.
   evbuffer_add_cb(bufferevent_get_output(stream_.get()), &WorkerConnection::OnOutputChanged, this);
 }
 
 WorkerConnection::~WorkerConnection() {
-  // A deferred callback may keep the stream alive for a while: nothing may be written or posted any more.
+  // A deferred callback may keep the stream alive for some time; nothing must be written or posted from now
+  // on.
   evbuffer_remove_cb(bufferevent_get_output(stream_.get()), &WorkerConnection::OnOutputChanged, this);
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
 }
@@ -104,7 +106,7 @@
   request_sent_ = true;
   received_ = received;
   reader_.Read(received);
-  reader_.TakeProgress();  // the other process has posted it
+  reader_.TakeProgress();  // the other process has already posted it
   bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
 }
 
@@ -122,7 +124,7 @@
     received_.append(bytes);
   reader_.Read(bytes);
   evbuffer_drain(input, size);
-  // The result first: bytes behind the last line are not part of it, however they are framed.
+  // The result takes precedence: bytes after the final line are ignored, even if their framing is malformed.
   if (reader_.framing_complete() || reader_.has_result())
     return FinishWithResponse();
   if (reader_.malformed())
@@ -130,7 +132,7 @@
   PostProgress();
 }
 
-// Not from within the parser, as the receiver may destroy this connection.
+// Not called from within the parser, because the receiver may destroy this connection.
 void WorkerConnection::PostProgress() {
   if (!attempt_)
     return;
@@ -158,7 +160,7 @@
   }
   if (reader_.ReadUnterminatedResult())
     return FinishWithResponse();
-  // A request whose last byte was not written cannot have run.
+  // The worker cannot have run a request whose last byte was not written.
   FinishWithoutResponse(request_sent_ ? Outcome::kLost : Outcome::kConnectFailed, std::move(reason));
 }
 
@@ -176,7 +178,8 @@
   Finish(std::move(ended), 0, {});
 }
 
-// The connection is closed before the core learns of the outcome, so that a retry finds room.
+// The connection is removed before the outcome is posted, so that it does not count against the connection
+// limit when the core retries.
 void WorkerConnection::Finish(AttemptEnded ended, Micros probe_elapsed, const LoadReport& probe_report) {
   const std::optional<AttemptId> attempt = std::exchange(attempt_, std::nullopt);
   const std::optional<std::string> probed_worker = std::exchange(probed_worker_, std::nullopt);
--- a/src/http/worker_connection.h
+++ b/src/http/worker_connection.h
@@ -1,4 +1,4 @@
-// One connection to a worker, which carries one attempt or one health check and is closed after it.
+// One connection to a worker. It carries one attempt or one health check and is closed afterwards.
 #ifndef ALDERSILL_SRC_HTTP_WORKER_CONNECTION_H_
 #define ALDERSILL_SRC_HTTP_WORKER_CONNECTION_H_
 
@@ -15,11 +15,11 @@
 
 namespace aldersill {
 
-// An attempt whose request the worker has received completely, as it moves from one process to another.
+// An attempt whose request has been sent completely, as it is transferred from one process to another.
 struct TransferredAttempt {
   evutil_socket_t fd = -1;
   std::string address;
-  std::string received;  // of the response so far
+  std::string received;  // the response so far
 };
 
 class WorkerConnection {
@@ -27,7 +27,7 @@
   // The worker client, which owns its connections.
   class Owner {
    public:
-    // Destroys the connection. `attempt`: the one that ended with it.
+    // Destroys the connection. `attempt`: the attempt that ended with it, if any.
     virtual void RemoveConnection(WorkerConnection* connection, std::optional<AttemptId> attempt) = 0;
 
    protected:
@@ -35,30 +35,36 @@
   };
   using ProbeDone = std::function<void(ProbeCompleted)>;
 
-  // `address`: the worker's, "address:port". `stream`: not connected yet, or of a transferred attempt.
-  // `owner` and `sink` must outlive the connection.
+  // `address`: the worker's, "address:port". `stream`: not connected yet, or a transferred attempt's
+  // connection. `owner` and `sink` must outlive the connection.
   WorkerConnection(event_base* base, Owner* owner, EventSink* sink, std::string address,
                    EventPtr<bufferevent> stream);
   ~WorkerConnection();
   WorkerConnection(const WorkerConnection&) = delete;
   WorkerConnection& operator=(const WorkerConnection&) = delete;
 
-  // Starts to connect; false if that failed at once. For an attempt posts AttemptConnected later.
+  // Starts to connect; false if that fails immediately. If the connection carries an attempt,
+  // AttemptConnected is posted once it is established.
   bool Connect(const Endpoint& worker);
 
+  // Assigns the connection to an attempt at `job`; writes nothing.
   void StartAttempt(AttemptId attempt, std::shared_ptr<const Job> job);
-  // Writes the attempt's request, at once as far as the kernel takes it: what the core has just decided must
-  // still hold when the first byte is sent. Posts AttemptSent with the last byte, maybe before it returns.
+  // Writes the attempt's request, immediately as far as the kernel accepts it, so that the core's decision to
+  // send still holds when the first byte is sent. Posts AttemptSent once the last byte has been passed to the
+  // kernel, possibly before this function returns.
   void Send(Micros time_left);
   // Nothing more is posted about the attempt.
   void AbandonAttempt() { attempt_.reset(); }
 
-  // Sends a health check's request and calls `done` once, unless the connection is destroyed before.
+  // Sends a health check's request and calls `done` once, unless the connection is destroyed first. The check
+  // times out after `timeout` microseconds.
   void StartProbe(std::string worker, Micros timeout, ProbeDone done);
 
-  // Nothing for an attempt whose request is not written, that has ended, or that has received too much.
+  // Nothing if the request has not been sent completely, the attempt has ended, or the response so far is too
+  // long.
   std::optional<TransferredAttempt> PrepareTransfer() const;
-  // Continues an attempt of another process, whose events up to `received` were posted there.
+  // Continues an attempt that another process has started. That process has posted the events up to
+  // `received`.
   void ReceiveTransfer(AttemptId attempt, std::shared_ptr<const Job> job, const std::string& received);
 
  private:
@@ -84,10 +90,11 @@
   ProbeDone probe_done_;
   std::optional<std::string> probed_worker_;
   std::optional<AttemptId> attempt_;
-  std::shared_ptr<const Job> job_;  // of the attempt
+  std::shared_ptr<const Job> job_;  // the attempt's job
   Micros request_started_at_ = 0;
-  bool request_sent_ = false;  // its last byte has been passed to the kernel
-  // Of an attempt's response, as another process may have to read it again; cut once it is too long for that.
+  bool request_sent_ = false;  // the request's last byte has been passed to the kernel
+  // The response to an attempt so far, for a process that takes the attempt over and reads it again. Once it
+  // is too long to be transferred, no more bytes are appended.
   std::string received_;
 };
 
--- a/src/http/worker_response_reader.cpp
+++ b/src/http/worker_response_reader.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxLineBytes = 65'536;  // longer than any valid line or report
 constexpr std::size_t kMaxHeaderBytes = 32'768;
 
-bool HasFigures(const LoadReport& report) {
+bool HasAnyValue(const LoadReport& report) {
   return report.cpu_share || report.free_slots || report.running_jobs || report.waiting;
 }
 
@@ -52,7 +52,7 @@
   if (has_result() || !request_id_ || parser_.status_code != 200)
     return has_result();
   try {
-    ApplyLine(DecodeAttemptLine(unread_, *request_id_));
+    ApplyLine(DecodeAttemptLine(undecoded_, *request_id_));
   } catch (const BadMessage&) {
     return false;
   }
@@ -65,14 +65,14 @@
   if (ReadUnterminatedResult()) {
     ended = std::move(*result_);
   } else if (parser_.status_code == 200) {
-    ended.outcome = is_probe ? Outcome::kServed : Outcome::kLost;  // an attempt without its last line
+    ended.outcome = is_probe ? Outcome::kServed : Outcome::kLost;  // the attempt's final line is missing
   } else {
     const bool never_started = declined_ && (parser_.status_code == 503 || parser_.status_code == 504);
     ended.outcome = never_started ? Outcome::kRejected : Outcome::kError;
   }
   if (is_probe && parser_.status_code == 200)
-    load_ = DecodeLoad(unread_);
-  if (!HasFigures(ended.report))
+    load_ = DecodeLoad(undecoded_);
+  if (!HasAnyValue(ended.report))
     ended.report = load_;
   return ended;
 }
@@ -138,34 +138,34 @@
 
 int WorkerResponseReader::OnMessageComplete(http_parser* parser) {
   Of(parser).framing_complete_ = true;
-  http_parser_pause(parser, 1);  // bytes behind it are not part of this response
+  http_parser_pause(parser, 1);  // the bytes that follow are not part of this response
   return 0;
 }
 
-// 0, or 1 to stop the parser with an error.
+// Returns 0, or 1 to stop the parser with an error.
 int WorkerResponseReader::ReadBody(std::string_view bytes) {
   if (has_result())
     return 0;
-  std::size_t search_from = unread_.size();  // earlier bytes hold no line end
-  unread_.append(bytes);
-  if (unread_.size() > kMaxLineBytes * 2)
+  std::size_t search_from = undecoded_.size();  // the bytes before contain no line end
+  undecoded_.append(bytes);
+  if (undecoded_.size() > kMaxLineBytes * 2)
     return 1;
   if (!request_id_ || parser_.status_code != 200)
     return 0;
   std::size_t line_start = 0;
   while (!has_result()) {
-    const std::size_t line_end = unread_.find('\n', search_from);
+    const std::size_t line_end = undecoded_.find('\n', search_from);
     if (line_end == std::string::npos)
       break;
-    if (!ReadLine(std::string_view(unread_).substr(line_start, line_end - line_start)))
+    if (!ReadLine(std::string_view(undecoded_).substr(line_start, line_end - line_start)))
       return 1;
     line_start = search_from = line_end + 1;
   }
-  unread_.erase(0, line_start);
+  undecoded_.erase(0, line_start);
   return 0;
 }
 
-// False if it is no line of this attempt's response.
+// Returns false if the line is not a valid line of a response to this attempt.
 bool WorkerResponseReader::ReadLine(std::string_view line) {
   if (line.find_first_not_of(" \t\r") == std::string_view::npos)
     return true;
--- a/src/http/worker_response_reader.h
+++ b/src/http/worker_response_reader.h
@@ -1,5 +1,6 @@
-// Reads one worker's response: to an attempt, whose body is a sequence of JSON lines that ends with its
-// result, or to a health check, whose body is a load report. Makes no calls of its own and owns no socket.
+// Parses a worker's response: to an attempt, whose body is a sequence of JSON lines that ends with the
+// result, or to a health check, whose body is a load report. The reader calls no callbacks and owns no
+// socket.
 #ifndef ALDERSILL_SRC_HTTP_WORKER_RESPONSE_READER_H_
 #define ALDERSILL_SRC_HTTP_WORKER_RESPONSE_READER_H_
 
@@ -20,41 +21,42 @@
  public:
   // A line that reports an attempt's progress.
   struct Progress {
-    bool started = false;  // the worker has begun; otherwise it is still running
-    double share = 0.0;    // of the work that is done
+    bool started = false;  // the worker has started the job; otherwise the job is still running
+    double share = 0.0;    // the fraction of the work that is done
   };
 
-  // `address`: the worker's, for the log. The response is one to a health check until ExpectResultOf.
+  // `address`: the worker's, for the log. The response is taken to answer a health check unless
+  // ExpectResultOf is called.
   explicit WorkerResponseReader(std::string address);
   WorkerResponseReader(const WorkerResponseReader&) = delete;
   WorkerResponseReader& operator=(const WorkerResponseReader&) = delete;
 
-  // The response is one to an attempt at the request of this id.
+  // Declares the response to answer an attempt at the request with this ID.
   void ExpectResultOf(std::string request_id) { request_id_ = std::move(request_id); }
 
-  // Reads what has arrived. Bytes behind the end of the response are ignored.
+  // Parses bytes that have arrived. Bytes after the end of the response are ignored.
   void Read(std::string_view bytes);
-  // The connection has ended, which ends a response without another framing.
+  // To be called when the connection has ended, which also ends a response that has no other framing.
   void ReadEnd();
 
-  // The response has ended by its framing.
+  // The response has ended according to its framing.
   bool framing_complete() const { return framing_complete_; }
-  // The last line of an attempt has been read.
+  // The final line of an attempt's response has been read.
   bool has_result() const { return result_.has_value(); }
   // The response is malformed or too large.
   bool malformed() const { return HTTP_PARSER_ERRNO(&parser_) != HPE_OK; }
 
   // Removes and returns the attempt's progress lines.
   std::vector<Progress> TakeProgress();
-  // Once no more arrives: reads a last line whose line end is missing. No proper part of a JSON object is an
-  // object itself, so a line that can be decoded is complete, and one that cannot was cut. True if there is a
-  // result.
+  // To be called when no more bytes will arrive: reads a final line whose line end is missing. No proper
+  // prefix of a JSON object is itself a JSON object, so a line that can be decoded is complete, and one that
+  // cannot was truncated. True if there is a result.
   bool ReadUnterminatedResult();
 
-  // How the attempt or the health check has ended; `attempt` is not set. To be called once, after the end of
-  // the response.
+  // Returns how the attempt or the health check has ended, without setting `attempt`. To be called once,
+  // after the end of the response.
   AttemptEnded TakeOutcome();
-  // From a header or a health check's body, as far as it is read.
+  // The load report read so far, from a header or a health check's body.
   const LoadReport& load() const { return load_; }
 
  private:
@@ -73,13 +75,13 @@
   void ApplyLine(AttemptLine line);
 
   const std::string address_;
-  std::optional<std::string> request_id_;  // of an attempt
+  std::optional<std::string> request_id_;  // set if the response answers an attempt
   http_parser parser_;
   std::size_t header_bytes_ = 0;
   std::string header_name_;
   std::string header_value_;
-  std::string unread_;  // of the body: an incomplete line, or the body of a health check
-  bool declined_ = false;
+  std::string undecoded_;  // from the body: an incomplete line, or a health check's load report
+  bool declined_ = false;  // header Srv-Declined: the worker has not started the job
   bool framing_complete_ = false;
   LoadReport load_;
   std::vector<Progress> progress_;
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -69,9 +69,9 @@
 
 Update TakeUpdate(MessageFields& in) {
   Update update;
-  update.name = in.Name();
-  update.address = in.Name();
-  update.incarnation.epoch = in.Number53();
+  update.name = in.TakeName();
+  update.address = in.TakeName();
+  update.incarnation.epoch = in.TakeUint53();
   update.incarnation.number = in.Take<std::uint32_t>();
   const auto state = in.Take<std::uint8_t>();
   if (state > static_cast<std::uint8_t>(State::kLeft))
@@ -79,7 +79,7 @@
   update.state = static_cast<State>(state);
   update.weight = in.Take<std::uint32_t>();
   update.accuser = in.Take<std::string>();
-  if (update.accuser.size() > kMostMessageName)
+  if (update.accuser.size() > kMaxMessageNameBytes)
     throw std::runtime_error("update: accuser's name too long");
   return update;
 }
@@ -95,9 +95,9 @@
 Message TakeMessage(std::uint32_t kind, MessageFields in) {
   switch (kind) {
     case 0:
-      return Ping{in.Take<std::uint32_t>(), in.Name(), in.Number53()};
+      return Ping{in.Take<std::uint32_t>(), in.TakeName(), in.TakeUint53()};
     case 1:
-      return IndirectPing{in.Take<std::uint32_t>(), in.Name(), in.Name(), in.Number53()};
+      return IndirectPing{in.Take<std::uint32_t>(), in.TakeName(), in.TakeName(), in.TakeUint53()};
     case 2:
       return Ack{in.Take<std::uint32_t>()};
     case 3:
@@ -107,7 +107,7 @@
     case 5:
       return ViewDigest{in.Take<std::uint64_t>()};
     case 6:
-      return FullState{in.List<Update>(TakeUpdate), in.Take<bool>()};
+      return FullState{in.TakeList<Update>(TakeUpdate), in.Take<bool>()};
     case 7:
       return DirectMessage{in.Take<std::string>()};
     default:
@@ -136,13 +136,13 @@
     if (in.Take<std::uint32_t>() != kVersion)
       throw std::runtime_error("packet: unsupported version of the format");
     Packet packet;
-    packet.from = in.Name();
-    packet.epoch = in.Number53();
+    packet.from = in.TakeName();
+    packet.epoch = in.TakeUint53();
     const auto kind = in.Take<std::uint32_t>();
-    packet.message = TakeMessage(kind, MessageFields(in.Object()));
-    packet.updates = in.List<Update>(TakeUpdate);
-    packet.gossip = in.List<GossipMessage>(TakeGossip);
-    in.End();
+    packet.message = TakeMessage(kind, MessageFields(in.TakeObject()));
+    packet.updates = in.TakeList<Update>(TakeUpdate);
+    packet.gossip = in.TakeList<GossipMessage>(TakeGossip);
+    in.ExpectEnd();
     return packet;
   });
 }
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -16,7 +16,7 @@
   bool operator==(const Endpoint&) const = default;
 };
 
-// Parses "address:port"; nothing for any other text.
+// Parses "address:port"; returns nothing for any other text.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 // The inverse of ParseEndpoint.
 std::string ToText(const Endpoint& endpoint);
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -11,7 +11,7 @@
 namespace aldersill {
 namespace {
 
-// Removes one line from the buffer; nothing if it holds no complete line.
+// Removes and returns one line; returns nothing if the buffer holds no complete line.
 std::optional<std::string> TakeLine(evbuffer* input) {
   std::size_t size = 0;
   char* text = evbuffer_readln(input, &size, EVBUFFER_EOL_CRLF);
@@ -59,7 +59,7 @@
 
   static void OnRead(bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); }
   static void OnWritten(bufferevent* stream, void* self) {
-    // Only the sending side is closed: to close a socket with unread bytes would reset the connection, and
+    // Closes only the sending side: closing a socket that has unread bytes would reset the connection, and
     // the peer could lose the answer.
     if (static_cast<Connection*>(self)->answered_)
       shutdown(bufferevent_getfd(stream), SHUT_WR);
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -18,11 +18,11 @@
 class LineServer {
  public:
   struct Limits {
-    std::size_t max_connections = 8;          // one more closes the oldest
+    std::size_t max_connections = 8;          // accepting another one closes the oldest
     std::size_t max_line_bytes = 128;         // a longer line closes its connection
     Micros connection_timeout = 2 * kSecond;  // from the accept of a connection to its close
   };
-  // Maps a line, without its line end, to the bytes that are written back.
+  // Returns the answer to a line, which is passed without its line end.
   using Handler = std::function<std::string(const std::string& line)>;
 
   LineServer(event_base* base, Limits limits, Handler handler);
@@ -30,9 +30,9 @@
   LineServer(const LineServer&) = delete;
   LineServer& operator=(const LineServer&) = delete;
 
-  // The callback for a listener that will be given to Listen.
+  // The callback for the listener that will be passed to Listen.
   AcceptCallback accept_callback() { return {.function = &LineServer::OnAccept, .arg = this}; }
-  // Takes ownership of the listener, in place of an earlier one.
+  // Takes ownership of the listener, which replaces an earlier one.
   void Listen(EventPtr<evconnlistener> listener) { listener_ = std::move(listener); }
   const evconnlistener* listener() const { return listener_.get(); }
 
@@ -45,7 +45,8 @@
   const Limits limits_;
   const Handler handler_;
   EventPtr<evconnlistener> listener_;
-  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by number, so the oldest comes first
+  // By number, so that the oldest connection is first.
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::uint64_t next_number_ = 0;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr int kListenLater = 0;  // as the backlog: libevent does not call listen() itself
+constexpr int kListenLater = 0;  // value of the backlog argument with which libevent does not call listen()
 constexpr unsigned kListenerFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_DISABLED;
 
-// A non-blocking TCP socket that is bound to `endpoint`; -1, with errno set, if that fails.
+// Returns a non-blocking TCP socket that is bound to `endpoint`; -1, with errno set, if that fails.
 evutil_socket_t BindSocket(const Endpoint& endpoint, PortSharing sharing) {
   const sockaddr_in address = ToSockaddr(endpoint);
   const evutil_socket_t fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -65,9 +65,9 @@
   return listener;
 }
 
-bool RouteNewConnectionsTo(evutil_socket_t listener, unsigned number) {
-  sock_filter answer = BPF_STMT(BPF_RET | BPF_K, number);
-  const sock_fprog program{1, &answer};
+bool RouteNewConnectionsTo(evutil_socket_t listener, unsigned index) {
+  sock_filter return_index = BPF_STMT(BPF_RET | BPF_K, index);
+  const sock_fprog program{1, &return_index};
   return setsockopt(listener, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof(program)) == 0;
 }
 
--- a/src/net/tcp_arrival.h
+++ b/src/net/tcp_arrival.h
@@ -1,4 +1,4 @@
-// When the bytes arrived that a socket has to be read.
+// The time at which the bytes that are waiting in a TCP socket arrived.
 #ifndef ALDERSILL_SRC_NET_TCP_ARRIVAL_H_
 #define ALDERSILL_SRC_NET_TCP_ARRIVAL_H_
 
@@ -8,8 +8,8 @@
 
 namespace aldersill {
 
-// How long ago the kernel received the last bytes of the TCP connection, in whole milliseconds; also if it
-// had not been accepted by then. 0 if the kernel does not tell.
+// How long ago the kernel received the last bytes of the TCP connection, in microseconds with a resolution of
+// one millisecond, even if the connection had not been accepted by then. 0 if the kernel does not report it.
 Micros TimeSinceLastReceive(evutil_socket_t fd);
 
 }  // namespace aldersill
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -13,7 +13,7 @@
 
 timeval ToTimeval(Micros delay);
 
-// Calls `expired` once for each Set, unless it is cleared or set again before. The callback may destroy the
+// Calls `expired` once for each Set, unless it is cleared or set again first. The callback may destroy the
 // timer.
 class Timer {
  public:
--- a/src/net/unique_descriptor.h
+++ b/src/net/unique_descriptor.h
@@ -11,7 +11,7 @@
 class UniqueDescriptor {
  public:
   UniqueDescriptor() = default;
-  // Takes ownership. A negative `fd`, as from a call that failed, is no descriptor.
+  // Takes ownership of `fd`, unless it is negative, as after a call that failed.
   explicit UniqueDescriptor(int fd) : fd_(fd) {}
   ~UniqueDescriptor() { Reset(); }
   UniqueDescriptor(UniqueDescriptor&& other) noexcept : fd_(other.Release()) {}
--- a/src/net/unix_address.h
+++ b/src/net/unix_address.h
@@ -11,7 +11,7 @@
 
 namespace aldersill {
 
-// Nothing for a path that is longer than a socket's path may be (107 bytes on Linux).
+// Returns nothing if the path is too long for a socket address (more than 107 bytes on Linux).
 inline std::optional<sockaddr_un> MakeUnixAddress(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -21,7 +21,7 @@
   return address;
 }
 
-// The same address as connect and bind take it.
+// The address in the type that connect and bind expect.
 inline const sockaddr* ToGenericAddress(const sockaddr_un& address) {
   return reinterpret_cast<const sockaddr*>(&address);
 }
--- a/tests/daemon/attempt_connect_test.cpp
+++ b/tests/daemon/attempt_connect_test.cpp
@@ -1,6 +1,7 @@
-// Attempts whose connection is established late: after the client has disconnected, the deadline is over, the
-// deduplication window has ended, or SIGTERM has arrived. While a listener's backlog is full the kernel drops
-// the daemon's SYN, which is sent again after a second; by then there is room.
+// Tests attempts whose connection is established late: after the client has disconnected, the deadline has
+// passed, the deduplication window has ended, or SIGTERM has arrived. The delay is produced with a full
+// listen backlog: the kernel drops the daemon's SYN and resends it after a second, when the backlog has room
+// again.
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -18,22 +19,22 @@
 namespace aldersill::tests {
 namespace {
 
-constexpr int kWaitMs = 30'000;  // for what the kernel does anyway
+constexpr int kWaitMs = 30'000;  // for operations of the kernel that always complete
 
-// A worker to which connections are established when the test wants it.
+// A worker whose incoming connections are established only when the test allows it.
 class WorkerStandIn {
  public:
   WorkerStandIn() : listener_(tools::ListenOn(0)) {
     listen(listener_.fd(), 0);  // a backlog of one connection
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(tools::PortOf(listener_)); }
-  // From now on no connection is established, until FreeBacklog.
+  // Prevents connections from being established until FreeBacklog.
   void FillBacklog() { filler_ = tools::ConnectTo(tools::PortOf(listener_)); }
   void FreeBacklog() {
     tools::Socket unused = Accept();
     filler_.Close();
   }
-  // The next connection.
+  // Waits for the next connection and returns it.
   tools::Socket Accept() {
     REQUIRE(WaitForConnection());
     return tools::Socket(accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
@@ -57,7 +58,8 @@
     }
     return false;
   }
-  // False if the client is answered before that.
+  // Waits until the kernel is trying to connect to this worker; returns false if the client is answered
+  // first.
   bool WaitUntilDialled(const tools::Wire& client) const {
     pollfd polled{client.fd(), POLLIN, 0};
     for (int ms = 0; !IsDialled(); ++ms) {
@@ -67,7 +69,7 @@
     }
     return true;
   }
-  // What has arrived on connections that are not accepted yet.
+  // Accepts all pending connections and returns the bytes that have arrived on them.
   std::string ReadUnaccepted() {
     std::string bytes;
     while (WaitForConnection(0)) {
@@ -95,7 +97,7 @@
   return config;
 }
 
-const nlohmann::json kTraced = {{"logging", {{"level", "debug"}}}};
+const nlohmann::json kDebugLogging = {{"logging", {{"level", "debug"}}}};
 
 tools::Wire SendRequest(const DaemonUnderTest& daemon, const std::string& job_class, const std::string& id,
                         int deadline_ms) {
@@ -119,7 +121,7 @@
       WorkerStandIn worker;
       nlohmann::json config = Config(worker);
       config["settings"]["limits"]["cancel"] = cancels;
-      DaemonUnderTest daemon(config, kTraced);
+      DaemonUnderTest daemon(config, kDebugLogging);
       worker.FillBacklog();
       {
         const tools::Wire client = SendRequest(daemon, job_class, "r1", 4000);
@@ -128,25 +130,25 @@
       REQUIRE(daemon.WaitForLogLine("client_disconnected"));
       worker.FreeBacklog();
       daemon.Signal(SIGTERM);
-      // It ends once no attempt is running: one that was continued would have connected by then, and been
-      // sent.
+      // The daemon exits once no attempt is running. An attempt that had been continued would have connected
+      // by then, and its request would have been sent.
       CHECK(daemon.WaitForExit() == 0);
       CHECK(worker.ReadUnaccepted() == "");
     }
   }
 }
 
-constexpr int kTries = 20;  // a slow machine may miss the moment that a test needs
+constexpr int kMaxTries = 20;  // on a slow machine a test may miss the time window that it needs
 
-// False if the deadline was over before the daemon could be stopped.
+// Returns false if the deadline passed before the daemon could be suspended.
 bool TestConnectionAfterDeadline(const std::string& job_class) {
   WorkerStandIn worker;
-  DaemonUnderTest daemon(Config(worker), kTraced);
+  DaemonUnderTest daemon(Config(worker), kDebugLogging);
   worker.FillBacklog();
-  tools::Wire client = SendRequest(daemon, job_class, "r1", 900);  // less than the SYN takes to be sent again
+  tools::Wire client = SendRequest(daemon, job_class, "r1", 900);  // less than the SYN's retransmission time
   if (!worker.WaitUntilDialled(client))
     return false;
-  daemon.Suspend();  // so that the connection is established before the timers expire
+  daemon.Suspend();  // so that the connection is established before the daemon handles its timers
   if (!worker.IsDialled())
     return false;
   worker.FreeBacklog();
@@ -164,33 +166,33 @@
   for (const std::string job_class : {"certificado", "promesa", "cobro"}) {
     CAPTURE(job_class);
     int tries = 1;
-    while (tries <= kTries && !TestConnectionAfterDeadline(job_class))
+    while (tries <= kMaxTries && !TestConnectionAfterDeadline(job_class))
       ++tries;
-    CHECK(tries <= kTries);
+    CHECK(tries <= kMaxTries);
   }
 }
 
-// False if the window was over before the retry began, or before the daemon could be stopped.
-bool TestRetryAfterWindow(bool stop_daemon) {
+// Returns false if the window ended before the retry started or before the daemon could be suspended.
+bool TestRetryAfterWindow(bool suspend_daemon) {
   WorkerStandIn worker;
   nlohmann::json config = Config(worker);
-  config["settings"]["grades"][1]["dedupWindow"] = 900'000;  // less than the SYN takes to be sent again
-  DaemonUnderTest daemon(config, kTraced);
+  config["settings"]["grades"][1]["dedupWindow"] = 900'000;  // less than the SYN's retransmission time
+  DaemonUnderTest daemon(config, kDebugLogging);
   tools::Wire client = SendRequest(daemon, "promesa", "r1", 5000);
   {
     tools::Wire first(worker.Accept());
     REQUIRE(tools::ReadHttp(&first).Header("Req-Id") == "r1");
     worker.FillBacklog();
-  }  // ends without an answer: it may have run
+  }  // the connection closes without a response, so the job may have run
   if (!worker.WaitUntilDialled(client))
     return false;
-  if (stop_daemon)
+  if (suspend_daemon)
     daemon.Suspend();
-  if (stop_daemon && !worker.IsDialled())
+  if (suspend_daemon && !worker.IsDialled())
     return false;
   worker.FreeBacklog();
   std::optional<tools::Socket> second;
-  if (stop_daemon) {
+  if (suspend_daemon) {
     second = worker.Accept();
     daemon.Signal(SIGCONT);
   }
@@ -205,12 +207,12 @@
 }
 
 TEST_CASE("a request with an idempotency key that may have run is not retried after its window") {
-  for (const bool stop_daemon : {false, true}) {
-    CAPTURE(stop_daemon);
+  for (const bool suspend_daemon : {false, true}) {
+    CAPTURE(suspend_daemon);
     int tries = 1;
-    while (tries <= kTries && !TestRetryAfterWindow(stop_daemon))
+    while (tries <= kMaxTries && !TestRetryAfterWindow(suspend_daemon))
       ++tries;
-    CHECK(tries <= kTries);
+    CHECK(tries <= kMaxTries);
   }
 }
 
@@ -218,7 +220,7 @@
   for (const bool is_retry : {false, true}) {
     CAPTURE(is_retry);
     WorkerStandIn worker;
-    DaemonUnderTest daemon(Config(worker), kTraced);
+    DaemonUnderTest daemon(Config(worker), kDebugLogging);
     if (!is_retry)
       worker.FillBacklog();
     tools::Wire client = SendRequest(daemon, "certificado", "r1", 9000);
--- a/tests/daemon/discovery_client_test.cpp
+++ b/tests/daemon/discovery_client_test.cpp
@@ -1,5 +1,5 @@
-// The discovery client over loopback, against a discovery that fails at the wrong moment: for how long the
-// list is valid, and which lists are accepted.
+// Tests the discovery client over loopback against a scripted discovery that fails at critical moments: for
+// how long the list stays valid, and which lists are accepted.
 #include "http/discovery_client.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
 namespace aldersill {
 namespace {
 
-constexpr Micros kTimeout = 30 * kSecond;  // generous, for a slow machine
+constexpr Micros kTimeout = 30 * kSecond;  // long enough for a slow machine
 constexpr Micros kNotificationBound = WatchScheduler::kNotificationBound;
 
 std::string Ok(const std::string& body) {
@@ -41,11 +41,11 @@
 }
 const std::string kUnavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-// A scripted discovery, a client that watches it, and what the client has posted.
+// A scripted discovery, a client that watches it, and the events that the client has posted.
 class DiscoveryScenario : public EventSink {
  public:
-  // From a poll's number, counted from 1, and its head to the bytes that are written at once; empty to leave
-  // it open.
+  // Returns the bytes to write immediately in answer to a poll, given its number (from 1) and its request
+  // head; an empty string leaves the poll unanswered.
   using Script = std::function<std::string(int poll, const std::string& head)>;
 
   explicit DiscoveryScenario(Script script, Micros drain_grace = 300 * kMillisecond)
@@ -86,14 +86,14 @@
     }
     return true;
   }
-  // Stops listening and closes all connections.
+  // Stops listening and closes all connections of the discovery.
   void Stop() {
     listener_.reset();
     peers_.clear();
   }
-  void WriteByteByByte(const std::string& text, bool forever) {
-    rest_ = text;
-    forever_ = forever;
+  void WriteByteByByte(const std::string& text, bool repeat_first_byte) {
+    unwritten_ = text;
+    repeats_first_byte_ = repeat_first_byte;
     byte_timer_.Set(1);
   }
   event_base* base() { return base_.get(); }
@@ -120,27 +120,27 @@
       return;
     evbuffer_drain(input, head.size());
     self->polls.push_back(head);
-    self->last_ = peer;
+    self->last_polled_peer_ = peer;
     const std::string answer = self->script_(static_cast<int>(self->polls.size()), head);
     bufferevent_write(peer, answer.data(), answer.size());
   }
-  // One byte in each turn of the loop.
+  // Writes one byte in each iteration of the event loop.
   void WriteNextByte() {
-    if (rest_.empty())
+    if (unwritten_.empty())
       return;
-    bufferevent_write(last_, rest_.data(), 1);
-    if (!forever_)
-      rest_.erase(0, 1);
-    byte_timer_.Set(forever_ ? kMillisecond : 1);
+    bufferevent_write(last_polled_peer_, unwritten_.data(), 1);
+    if (!repeats_first_byte_)
+      unwritten_.erase(0, 1);
+    byte_timer_.Set(repeats_first_byte_ ? kMillisecond : 1);
   }
 
   EventPtr<event_base> base_;
   Script script_;
   EventPtr<evconnlistener> listener_;
   std::vector<EventPtr<bufferevent>> peers_;
-  bufferevent* last_ = nullptr;
-  std::string rest_;
-  bool forever_ = false;
+  bufferevent* last_polled_peer_ = nullptr;
+  std::string unwritten_;
+  bool repeats_first_byte_ = false;
   Timer byte_timer_;
   Endpoint endpoint_;
   std::unique_ptr<DiscoveryClient> discovery_;
@@ -165,14 +165,14 @@
       5 * kSecond);
   REQUIRE(scenario.RunUntil([&] {
     return scenario.polls.size() == 3;
-  }));  // the second was answered as a watch, and the third continues it
+  }));  // the second poll was answered on a watch, and the third continues the watch
   const Micros stopped_at = SteadyNow();
   scenario.Stop();
   CHECK(scenario.RunUntil(
       [&] { return scenario.valid_until > stopped_at + kNotificationBound + 500 * kMillisecond; }));
 }
 
-TEST_CASE("a connect probe reports refused only if nobody listens") {
+TEST_CASE("a connect probe reports refused only if no process listens") {
   DiscoveryScenario scenario([](int, const std::string&) { return std::string(); });
   int refused = 0, not_refused = 0;
   ConnectProbe probe(scenario.base(), scenario.endpoint(),
@@ -184,8 +184,8 @@
   probe.Start();
   REQUIRE(scenario.RunUntil([&] { return not_refused + refused == 2; }));
   CHECK(refused == 1);
-  // Without a descriptor the result is unknown; without any call of `done` discovery would never be polled
-  // again.
+  // Without a free descriptor the result is unknown. `done` must still be called, or discovery would never be
+  // polled again.
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   const rlimit exhausted{3, limit.rlim_max};
@@ -210,7 +210,7 @@
   CHECK(scenario.lists[0].workers.size() == 3);
 }
 
-TEST_CASE("another poll is sent beside a list that never ends") {
+TEST_CASE("another poll is sent while an answer that never ends is being received") {
   DiscoveryScenario* target = nullptr;
   DiscoveryScenario scenario([&](int poll, const std::string&) {
     if (poll > 1)
@@ -223,7 +223,7 @@
   CHECK(scenario.lists[0].workers.size() == 1);
 }
 
-TEST_CASE("a discovery whose versions restart is followed from its snapshot on") {
+TEST_CASE("after discovery's versions restart, polls continue from the version of its snapshot") {
   DiscoveryScenario scenario([&](int poll, const std::string&) {
     return poll == 1 ? Ok(List(41, true, "ab")) : poll == 2 ? Ok(List(3, true, "c")) : std::string();
   });
--- a/tests/daemon/discovery_move_test.cpp
+++ b/tests/daemon/discovery_move_test.cpp
@@ -1,15 +1,16 @@
-// Users saw new jobs sent to draining workers, in fleets of 178 and 198 dispatchers. A reload (SIGHUP) had
-// moved discovery; workers drained shortly after it, and the dispatcher had not heard of that.
+// Guards against jobs that are sent to draining workers after a reload (SIGHUP) has moved discovery. This was
+// seen in fleets of 178 and 198 dispatchers: workers drained shortly after the reload, and the dispatcher had
+// not received the change.
 //
-// Order of events at one of them, in seconds: the last answer on the watch at 25.454; SIGHUP at 25.861; the
-// watch at the previous address ended at 25.918; no poll at the new address; at 30.223 and 30.228 jobs went
-// to workers that answered 503, as draining ones do. At the other one SIGHUP came at 26.076, and the jobs
-// went out at 30.423, 30.434 and 30.442.
+// The list was used for rules.mustAskIn less the wait of a poll (8 s) after the reload, and the first poll at
+// the new address was delayed by up to 5 s, depending on the configured fleet size. However, changes that
+// discovery holds count as notified 4 s after the reload.
 //
-// Cause: the list was taken to be valid for rules.mustAskIn less the wait of a poll (8 s) from the reload on,
-// and the first poll waited up to 5 s, the more the larger the fleet is said to be. But what discovery has
-// counts as notified 4 s after the reload. Evidence: both first forbidden jobs lie 4.36 s after SIGHUP, the
-// 4 s and the 0.35 s in which a drain has to be heeded.
+// Sequence in one dispatcher: last answer on the watch at 25.454 s, SIGHUP at 25.861 s, end of the watch at
+// the previous address at 25.918 s, no poll at the new address, jobs sent to workers that answered 503
+// because they were draining at 30.223 s and 30.228 s. In the other dispatcher: SIGHUP at 26.076 s, jobs sent
+// at 30.423 s, 30.434 s and 30.442 s. In both, the first such job was sent about 4.36 s after SIGHUP, just
+// after the 4 s and the 0.35 s within which a drain must take effect.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -30,13 +31,13 @@
 
 constexpr milliseconds kReloadNotificationBound{4'000};
 constexpr milliseconds kDrainGrace{300};
-constexpr milliseconds kSlack{500};  // for a slow machine
+constexpr milliseconds kSlack{500};  // tolerance for a slow machine
 constexpr milliseconds kPreviousAddressCloses{1'500};
-constexpr milliseconds kObserved{6'500};  // after the reload
+constexpr milliseconds kObservationTime{6'500};  // time after the reload for which jobs are sent
 constexpr int kFleetSize = 198;
 constexpr int kJobDeadlineMs = 300;
 
-// A worker that runs all jobs at once and notes when each arrived.
+// A worker that completes every job immediately and records when it arrived.
 class RecordingWorker {
  public:
   std::uint16_t port() const { return server_.port(); }
@@ -70,15 +71,15 @@
   return "127.0.0.1:" + std::to_string(tools::PortOf(listener));
 }
 
-// A dispatcher that is told to be one of many and watches discovery at its first address.
+// A dispatcher that is configured as one of many and watches discovery at its first address.
 class MovingDiscovery {
  public:
-  explicit MovingDiscovery(const std::string& how_lists_come) {
+  explicit MovingDiscovery(const std::string& discovery_mode) {
     config_ = ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json");
     config_["settings"]["peersTotal"] = kFleetSize;
-    config_["settings"]["discovery"] = how_lists_come;
+    config_["settings"]["discovery"] = discovery_mode;
     for (auto& tenant : config_["settings"]["tenants"])
-      tenant["quotaPerS"] = 100'000.0;  // no job is rejected for its tenant's share
+      tenant["quotaPerS"] = 100'000.0;  // high enough that no job is rejected for its tenant's quota
     config_["discovery"] = AddressOf(previous_);
     daemon_.emplace(config_, nlohmann::json::object());
     REQUIRE(daemon_->ports().contains("http"));
@@ -95,7 +96,7 @@
     daemon_->Signal(SIGHUP);
     REQUIRE(daemon_->WaitForLogLine("configuration_applied"));
   }
-  // SIGHUP with this text as the configuration. Discovery stays where it is and falls silent.
+  // Writes `config` as the configuration and sends SIGHUP. Discovery is not moved, and falls silent.
   void ReloadInPlace(const std::string& config, const std::string& expected_line) {
     daemon_->WriteConfig(config, nlohmann::json::object());
     reloaded_at_ = Clock::now();
@@ -104,7 +105,7 @@
   }
   std::string config_text() const { return config_.dump(); }
   bool HasLogged(const std::string& text) const { return daemon_->log().find(text) != std::string::npos; }
-  // The watch that was open at the move brings no change, and is renewed.
+  // Answers the watch that was open at the move without changes, and expects that it is continued.
   void AnswerWatchAtPreviousAddress() {
     REQUIRE(Send(watch_, ListAnswer(41, false, nlohmann::json::array())));
     REQUIRE(Receive(watch_, "\r\n\r\n").text.starts_with("GET /api/targets?index=41&wait="));
@@ -113,13 +114,12 @@
     std::this_thread::sleep_until(reloaded_at_ + kPreviousAddressCloses);
     watch_.Close();
   }
-  // The new address answers the outstanding poll; the worker that drains has drained since shortly after the
-  // move.
+  // Answers the outstanding poll at the new address; in this answer the `draining` worker is draining.
   void AnswerPollAtNewAddress() {
     watch_ = Accept(next_);
     AnswerPoll("GET /api/targets", ListAnswer(7, true, Servers("DRAINING")));
   }
-  // Sends one job after another until `until`. Returns how many were served.
+  // Sends jobs one after another until `until`. Returns how many were served.
   int SendJobs(Clock::time_point until) {
     int served = 0;
     while (Clock::now() < until) {
@@ -163,10 +163,10 @@
       scenario.AnswerWatchAtPreviousAddress();
     scenario.ClosePreviousAddress();
     CHECK(scenario.HasLogged("endpoint_list_bound bound=reload"));
-    // The list is in use until then...
+    // The list is used before the bound.
     CHECK(scenario.SendJobs(scenario.reloaded_at() + kReloadNotificationBound / 2) > 0);
-    // ...and discovery at the new address does not answer.
-    scenario.SendJobs(scenario.reloaded_at() + kObserved);
+    // Discovery at the new address does not answer meanwhile, so the list must not be used after the bound.
+    scenario.SendJobs(scenario.reloaded_at() + kObservationTime);
     CHECK(scenario.draining.ArrivalsAfter(scenario.reloaded_at() + kReloadNotificationBound + kDrainGrace +
                                           kSlack) == 0);
     scenario.AnswerPollAtNewAddress();
@@ -176,7 +176,7 @@
   }
 }
 
-TEST_CASE("a reload that moves nothing, or is rejected, ends the list as well unless discovery answers") {
+TEST_CASE("a reload without a move, or a rejected one, also ends the list unless discovery answers") {
   for (const bool rejected : {false, true}) {
     CAPTURE(rejected);
     MovingDiscovery scenario("subscribe");
@@ -185,7 +185,7 @@
     else
       scenario.ReloadInPlace(scenario.config_text(), "configuration_applied");
     CHECK(scenario.SendJobs(scenario.reloaded_at() + kReloadNotificationBound / 2) > 0);
-    scenario.SendJobs(scenario.reloaded_at() + kObserved);
+    scenario.SendJobs(scenario.reloaded_at() + kObservationTime);
     const Clock::time_point last_allowed =
         scenario.reloaded_at() + kReloadNotificationBound + kDrainGrace + kSlack;
     CHECK(scenario.staying.ArrivalsAfter(last_allowed) + scenario.draining.ArrivalsAfter(last_allowed) == 0);
--- a/tests/daemon/discovery_simulation.cpp
+++ b/tests/daemon/discovery_simulation.cpp
@@ -8,10 +8,10 @@
 namespace aldersill::tests {
 namespace {
 
-constexpr Micros kDiscoveryTurnTimeout = 2 * kSecond;  // a poll that waits longer for its turn is refused
+constexpr Micros kQueueTimeout = 2 * kSecond;  // a poll queued for longer is answered with an error
 constexpr Micros kMaxAnswerDelay = 4 * kSecond;
 constexpr Micros kDay = 86'400 * kSecond;
-constexpr std::size_t kMaxOutstandingPolls = 4;  // as DiscoveryClient has it
+constexpr std::size_t kMaxOutstandingPolls = 4;  // as in DiscoveryClient
 
 }  // namespace
 
@@ -24,21 +24,22 @@
     Start(0, i, 0);
   for (int i = 0; i < std::ssize(scenario.faults); ++i)
     Push(scenario.faults[i].from, 0, Step::kFault, i);
-  // Not before: changes wake all watches at once, while those of a calm fleet are out of step.
+  // Changes do not start earlier: a change ends the waits of all watches at once, while without changes the
+  // watches of a fleet are out of step.
   Push(scenario.changes_from.value_or(scenario.faults.front().from), 0, Step::kChange, 0);
   if (scenario.measured_from != kFromEachMove)
     Push(scenario.measured_from, 0, Step::kMeasure, 0);
 }
 
-Findings DiscoverySimulation::Run() {
+SimulationResult DiscoverySimulation::Run() {
   for (; !steps_.empty() && steps_.top().at < kSimulationEnd; steps_.pop())
     Handle(Step(steps_.top()));
-  return findings_;
+  return result_;
 }
 
 void DiscoverySimulation::Push(Micros at, int dispatcher, Step::Kind kind, int number, int version,
-                               bool flag) {
-  steps_.push({kind, at, dispatcher, number, version, flag, ++next_order_});
+                               bool refused_or_error) {
+  steps_.push({kind, at, dispatcher, number, version, refused_or_error, ++next_order_});
 }
 
 bool DiscoverySimulation::DrawChance(double share) {
@@ -53,7 +54,7 @@
   return nullptr;
 }
 
-// From when discovery has a change that is made at `at` and can be reached.
+// Returns the time from which discovery has a change made at `at` and is reachable.
 Micros DiscoverySimulation::ReachableFrom(Micros at) const {
   const Fault* fault = ActiveFault(at);
   const bool unreachable = fault != nullptr && (fault->kind == Fault::kRefusesConnects ||
@@ -73,19 +74,21 @@
   Dispatcher& dispatcher = dispatchers_[index];
   const Micros complete_at = now - list_age;
   dispatcher.scheduler.emplace(MakeScheduler());
-  // Half of the lists show a worker that was started shortly before: so young they are at least.
+  // Half of the lists contain a worker that was started up to 3 s before `complete_at`, so the list is known
+  // to be at least as recent as that start. The age of the other lists is unknown.
   const Micros latest_worker_start =
       DrawChance(0.5) ? complete_at - static_cast<Micros>(random_() % (3 * kSecond)) : -kDay;
   dispatcher.scheduler->StartWithCachedList(now, latest_worker_start);
   dispatcher.polls.clear();
   ++dispatcher.probe;
   dispatcher.probing = false;
-  // Where discovery is polled: whatever the list lacks counts as notified 6 s later, even if nobody listened.
+  // Where discovery is polled, each change missing from the list counts as notified 6 s after it was made,
+  // even if no process was listening.
   dispatcher.failed = !pushed();
   dispatcher.known_changes =
       static_cast<int>(std::ranges::upper_bound(change_times_, complete_at) - change_times_.begin());
   dispatcher.last_poll_at = dispatcher.checked_until = dispatcher.started_at = now;
-  dispatcher.watch_silent_since = dispatcher.stopped_at = kNever;
+  dispatcher.watch_silent_since = dispatcher.list_expired_at = kNever;
   dispatcher.moved_at = -kNever;
   Schedule(now, index);
 }
@@ -97,7 +100,8 @@
   for (const auto& [number, poll] : dispatcher.polls) {
     if (poll.wait == 0)
       dispatcher.failed = true;
-    // The model keeps no old address: what that watch misses from now on it misses like a silent one.
+    // The simulation has no previous address: the watch there misses all changes from now on, like a silent
+    // watch.
     if (poll.wait > 0)
       dispatcher.watch_silent_since = std::min(dispatcher.watch_silent_since, now);
   }
@@ -109,7 +113,7 @@
   Schedule(now, index);
 }
 
-// As DiscoveryClient has it: one timer for the next poll and one for the next probe.
+// Like DiscoveryClient, uses one timer for the next poll and one for the next probe.
 void DiscoverySimulation::Schedule(Micros now, int index) {
   Dispatcher& dispatcher = dispatchers_[index];
   const WatchScheduler& scheduler = *dispatcher.scheduler;
@@ -153,7 +157,7 @@
   Schedule(step.at, step.dispatcher);
 }
 
-// Whether what the step is about has been replaced or cancelled.
+// Whether the poll, probe or schedule of this step has been replaced or cancelled.
 bool DiscoverySimulation::IsOutdated(const Step& step) const {
   const Dispatcher& dispatcher = dispatchers_[step.dispatcher];
   if (step.kind == Step::kPoll)
@@ -173,7 +177,8 @@
     NotifyWatches(now, i);
 }
 
-// Where polls were lost just now, the dispatchers that lost one are measured; where processes started, these.
+// If polls were lost at this moment, only dispatchers that lost one are measured; if processes started, only
+// those that started.
 void DiscoverySimulation::HandleMeasure(Micros now) {
   const auto happened = [&](Fault::Kind kind) {
     return std::ranges::any_of(scenario_.faults,
@@ -185,18 +190,18 @@
     const bool lost_one =
         std::ranges::any_of(dispatcher.polls, [](const auto& poll) { return poll.second.lost; });
     dispatcher.measured = (!polls_lost || lost_one) && (!started || dispatcher.started_at == now);
-    findings_.measured += dispatcher.measured;
+    result_.measured += dispatcher.measured;
   }
 }
 
-// Dispatchers whose reloads come one after another are measured from then on.
+// Where each dispatcher is measured from its own move, the measurement starts here.
 void DiscoverySimulation::HandleMove(const Step& step) {
   Dispatcher& dispatcher = dispatchers_[step.dispatcher];
   CheckListUse(step.at, &dispatcher);
   Move(step.at, step.dispatcher);
   if (scenario_.measured_from == kFromEachMove) {
     dispatcher.measured = true;
-    ++findings_.measured;
+    ++result_.measured;
   }
 }
 
@@ -223,7 +228,7 @@
 void DiscoverySimulation::HandleProbed(const Step& step) {
   Dispatcher& dispatcher = dispatchers_[step.dispatcher];
   dispatcher.probing = false;
-  if (step.flag)
+  if (step.refused_or_error)
     dispatcher.scheduler->ProbeRefused(step.at);
   else
     dispatcher.scheduler->ProbeNotRefused(step.at);
@@ -234,7 +239,7 @@
   const Micros sent_at = dispatcher.polls.at(step.number).sent_at;
   dispatcher.polls.erase(step.number);
   dispatcher.failed = true;
-  dispatcher.scheduler->PollFailed(step.at, sent_at, step.flag, !dispatcher.polls.empty());
+  dispatcher.scheduler->PollFailed(step.at, sent_at, step.refused_or_error, !dispatcher.polls.empty());
 }
 
 void DiscoverySimulation::HandleAnswer(const Step& step) {
@@ -248,19 +253,19 @@
   if (std::exchange(dispatcher.measured, false))
     RecordRecovery(step.at, &dispatcher);
   dispatcher.moved_at = -kNever;
-  dispatcher.stopped_at = kNever;
+  dispatcher.list_expired_at = kNever;
 }
 
 void DiscoverySimulation::RecordRecovery(Micros now, Dispatcher* dispatcher) {
-  ++findings_.recovered;
+  ++result_.recovered;
   const Micros from =
       scenario_.measured_from == kFromEachMove ? dispatcher->moved_at : scenario_.measured_from;
-  findings_.longest_without_list = std::max(findings_.longest_without_list, now - from);
-  if (dispatcher->stopped_at == kNever)
+  result_.longest_without_list = std::max(result_.longest_without_list, now - from);
+  if (dispatcher->list_expired_at == kNever)
     return;
-  ++findings_.stopped;
-  findings_.total_stop += now - dispatcher->stopped_at;
-  findings_.longest_stop = std::max(findings_.longest_stop, now - dispatcher->stopped_at);
+  ++result_.expired;
+  result_.total_expiry += now - dispatcher->list_expired_at;
+  result_.longest_expiry = std::max(result_.longest_expiry, now - dispatcher->list_expired_at);
 }
 
 // ---- Discovery ----
@@ -284,7 +289,7 @@
   Dispatcher& dispatcher = dispatchers_[index];
   for (auto& [number, poll] : dispatcher.polls) {
     if (poll.written && !poll.lost)
-      continue;  // an answer that is sent before a reset arrives before it
+      continue;  // an answer sent before a reset also arrives before it
     if ((fault.kind == Fault::kRefusesConnects && !poll.lost) || fault.kind == Fault::kBreaksOutstanding) {
       poll.lost = false;
       poll.written = true;
@@ -297,7 +302,8 @@
   }
 }
 
-// Discovery begins watches in turn and refuses polls that waited for 2 s, but works on these all the same.
+// Discovery serves polls that begin a watch one at a time. A poll that has been queued for 2 s is answered
+// with an error but is still served.
 void DiscoverySimulation::AcceptPoll(Micros now, int index, Micros wait) {
   const int number = ++last_poll_;
   dispatchers_[index].polls[number] = {.sent_at = now, .wait = wait};
@@ -309,10 +315,10 @@
   }
   if (pushed())
     return Push(now, index, Step::kAnswerWritten, number);
-  const Micros turn = std::max(now, discovery_free_at_);
-  discovery_free_at_ = turn + kSecond / scenario_.first_polls_per_second;
-  if (turn - now > kDiscoveryTurnTimeout)
-    Push(now + kDiscoveryTurnTimeout, index, Step::kPollFails, number, 0, true);
+  const Micros service_start = std::max(now, discovery_free_at_);
+  discovery_free_at_ = service_start + kSecond / scenario_.first_polls_per_second;
+  if (service_start - now > kQueueTimeout)
+    Push(now + kQueueTimeout, index, Step::kPollFails, number, 0, true);
   else
     Push(discovery_free_at_, index, Step::kAnswerWritten, number, 0, true);
 }
@@ -344,7 +350,8 @@
     return;
   }
   poll.written = true;
-  // A watch that is not overdue is taken to be read as it is written, and an agent is near.
+  // Answers on a watch that is not overdue are assumed to be read as soon as they are written, and an agent
+  // runs on the same machine.
   const bool may_be_delayed = poll.wait == 0 && !pushed();
   const bool delayed = may_be_delayed && std::ranges::any_of(scenario_.faults, [&](const Fault& delay) {
                          return delay.kind == Fault::kDelaysAnswers && delay.from <= now &&
--- a/tests/daemon/discovery_simulation_checker.cpp
+++ b/tests/daemon/discovery_simulation_checker.cpp
@@ -1,5 +1,5 @@
-// The platform's rules on when a change counts as notified, as the simulation's checker holds the schedulers
-// to them. Shares no code with the scheduler.
+// The checker of the discovery simulation: checks the schedulers against the platform's rules on when a
+// change counts as notified. It shares no code with the scheduler.
 #include <algorithm>
 
 #include "discovery_simulation.h"
@@ -12,15 +12,16 @@
 
 }  // namespace
 
-// The earliest moment from which a change that is not in the list counts as notified. The rule on drains
-// allows the grace on top.
+// Returns the earliest time from which a change that is not in the list counts as notified. The rule on
+// drains additionally allows the drain grace.
 Micros DiscoverySimulation::NotifiedAt(const Dispatcher& dispatcher) const {
   if (dispatcher.known_changes == CurrentVersion())
     return kNever;
   const Micros changed_at = change_times_[dispatcher.known_changes];
   if (pushed())
     return NotifiedAtByAgent(dispatcher, changed_at);
-  // After a move all that discovery has counts by then, whatever would be allowed otherwise.
+  // After a move, all changes that discovery holds count as notified at this time, even if another rule
+  // allows more.
   const Micros notified_by_move =
       dispatcher.moved_at >= 0 ? std::max(changed_at, dispatcher.moved_at + kMovedListValidity) : kNever;
   return std::min(notified_by_move, NotifiedAtByPolls(dispatcher, changed_at));
@@ -32,7 +33,8 @@
   for (const auto& [number, poll] : dispatcher.polls) {
     if (poll.wait == 0 || poll.lost)
       continue;
-    return poll.written ? changed_at + kNotificationBound : kNever;  // on its way, or about to be written
+    // The answer is in transit, or has not been written yet and will contain the change.
+    return poll.written ? changed_at + kNotificationBound : kNever;
   }
   Micros notified_at = std::max(changed_at, dispatcher.last_poll_at) + kMaxPollInterval;
   if (dispatcher.watch_silent_since != kNever)
@@ -41,7 +43,7 @@
   return notified_at;
 }
 
-// What an agent has counts from the first moment of a new process.
+// Changes that an agent holds count as notified from the start of a process.
 Micros DiscoverySimulation::NotifiedAtByAgent(const Dispatcher& dispatcher, Micros changed_at) const {
   const Micros known_at = std::max(changed_at, dispatcher.started_at);
   Micros notified_at = known_at;
@@ -57,9 +59,9 @@
   const Micros used_until = std::min(now, valid_until);
   const Micros notified_at = NotifiedAt(*dispatcher);
   if (notified_at != kNever && used_until > dispatcher->checked_until)
-    findings_.latest_use = std::max(findings_.latest_use, used_until - notified_at);
-  if (valid_until < now && dispatcher->stopped_at == kNever)
-    dispatcher->stopped_at = std::max(valid_until, dispatcher->checked_until);
+    result_.max_stale_use = std::max(result_.max_stale_use, used_until - notified_at);
+  if (valid_until < now && dispatcher->list_expired_at == kNever)
+    dispatcher->list_expired_at = std::max(valid_until, dispatcher->checked_until);
   dispatcher->checked_until = now;
 }
 
--- a/tests/daemon/list_validity_test.cpp
+++ b/tests/daemon/list_validity_test.cpp
@@ -1,4 +1,4 @@
-// Each rule that ends the endpoint list's validity, by itself.
+// Tests each rule that ends the endpoint list's validity on its own.
 #include "http/list_validity.h"
 
 #include <doctest/doctest.h>
@@ -20,8 +20,8 @@
       PollBackoff(198, max_poll_interval / 2, 7));
 }
 
-// Answered at `at`, with a watch from then on.
-WatchScheduler MakeWatching(Kind kind, Micros at) {
+// A scheduler whose first poll was answered at `at` and that has had an open watch since then.
+WatchScheduler MakeSchedulerWithWatch(Kind kind, Micros at) {
   WatchScheduler scheduler = MakeWatchScheduler(kind);
   scheduler.Start(at, kSecond);
   scheduler.PollSent(at);
@@ -34,7 +34,7 @@
   for (const Kind kind : {Kind::kPolled, Kind::kPushed}) {
     CAPTURE(kind == Kind::kPushed);
     WatchScheduler second = MakeWatchScheduler(kind), third = MakeWatchScheduler(kind);
-    second.StartAtNewAddress(10 * kSecond, 10 * kSecond, MakeWatching(kind, 9 * kSecond));
+    second.StartAtNewAddress(10 * kSecond, 10 * kSecond, MakeSchedulerWithWatch(kind, 9 * kSecond));
     third.StartAtNewAddress(13 * kSecond, 13 * kSecond, second);
     CHECK(third.valid_until() <= 10 * kSecond + kReloadBound);
     third.PollSent(13 * kSecond);
@@ -45,25 +45,25 @@
   }
 }
 
-TEST_CASE("a rejected reload bounds the list as a move does, and refusals then prove nothing") {
-  WatchScheduler scheduler = MakeWatching(Kind::kPolled, kSecond);
+TEST_CASE("a rejected reload bounds the list like a move, and refused connects no longer extend it") {
+  WatchScheduler scheduler = MakeSchedulerWithWatch(Kind::kPolled, kSecond);
   scheduler.Reloaded(2 * kSecond, /*rejected=*/true);
   CHECK(scheduler.valid_until() <= 2 * kSecond + kReloadBound);
-  // The watch, which was open at the reload, brings one more change before the address ends.
+  // The watch that was open at the reload returns one more change before the connection breaks.
   scheduler.PollAnswered(3 * kSecond, kSecond);
   scheduler.PollSent(3 * kSecond);
-  scheduler.PollFailed(3'500 * kMillisecond, 3 * kSecond, /*by_discovery=*/false,
+  scheduler.PollFailed(3'500 * kMillisecond, 3 * kSecond, /*answered_with_error=*/false,
                        /*others_outstanding=*/false);
   for (Micros now = 3'550 * kMillisecond; now < 20 * kSecond; now += 50 * kMillisecond)
     scheduler.ProbeRefused(now);
   CHECK(scheduler.valid_until() <= 3 * kSecond + kBound);
 }
 
-TEST_CASE("an agent that fails otherwise than by silence is not acted on for longer than the drain grace") {
-  WatchScheduler scheduler = MakeWatching(Kind::kPushed, kSecond);
+TEST_CASE("after an agent fails other than by silence, its list is valid for at most the drain grace") {
+  WatchScheduler scheduler = MakeSchedulerWithWatch(Kind::kPushed, kSecond);
   Micros now = kSecond;
   for (int poll = 0; poll < 20; ++poll) {
-    scheduler.PollFailed(now, now, /*by_discovery=*/poll % 2 == 0, /*others_outstanding=*/false);
+    scheduler.PollFailed(now, now, /*answered_with_error=*/poll % 2 == 0, /*others_outstanding=*/false);
     CHECK(scheduler.valid_until() <= kSecond + kDrainGrace);
     now = scheduler.next_poll();
     scheduler.PollSent(now);
@@ -84,12 +84,12 @@
   CHECK(scheduler.valid_until() == 3 * kSecond);
 }
 
-TEST_CASE("a move is bounded from the signal on, less the time that the signal may have waited") {
+TEST_CASE("a move's bound starts at the signal, less the time that the signal may have been pending") {
   const Micros signalled_at = 10 * kSecond, applied_at = signalled_at + 60 * kMillisecond;
   for (const Kind kind : {Kind::kPolled, Kind::kPushed}) {
     CAPTURE(kind == Kind::kPushed);
     WatchScheduler scheduler = MakeWatchScheduler(kind);
-    scheduler.StartAtNewAddress(applied_at, signalled_at, MakeWatching(kind, 9'900 * kMillisecond));
+    scheduler.StartAtNewAddress(applied_at, signalled_at, MakeSchedulerWithWatch(kind, 9'900 * kMillisecond));
     CHECK(scheduler.valid_until() == signalled_at + kReloadBound - 100 * kMillisecond);
     CHECK(scheduler.validity().bound == ValidityBound::kReload);
   }
@@ -102,7 +102,8 @@
       WatchScheduler scheduler(
           {.kind = Kind::kPolled, .max_poll_interval = 10 * kSecond, .drain_grace = kDrainGrace},
           PollBackoff(dispatchers, 5 * kSecond, seed));
-      scheduler.StartAtNewAddress(10 * kSecond, 10 * kSecond, MakeWatching(Kind::kPolled, 9 * kSecond));
+      scheduler.StartAtNewAddress(10 * kSecond, 10 * kSecond,
+                                  MakeSchedulerWithWatch(Kind::kPolled, 9 * kSecond));
       CHECK(scheduler.next_poll() <= 10 * kSecond + kReloadBound - kSecond);
     }
   }
--- a/tests/daemon/poll_backoff_test.cpp
+++ b/tests/daemon/poll_backoff_test.cpp
@@ -1,4 +1,4 @@
-// Many dispatchers, each with a backoff of its own, against one modelled discovery in virtual time.
+// Tests the backoff with many dispatchers that poll one simulated discovery in virtual time.
 #include "http/poll_backoff.h"
 
 #include <doctest/doctest.h>
@@ -15,49 +15,50 @@
 
 constexpr Micros kMaxDelay = 5 * kSecond;
 
-// Works through polls in turn. One that has waited too long is answered with an error but stays in the queue:
-// its turn takes as long as any other.
-class ModelledDiscovery {
+// Serves polls one at a time. A poll that waits too long is answered with an error but stays in the queue,
+// and takes as much service time as any other.
+class SimulatedDiscovery {
  public:
   struct Answer {
     bool served = false;
     Micros at = 0;
   };
   Answer HandlePoll(Micros now) {
-    const Micros turn = std::max(now, free_at_);
-    free_at_ = turn + kTimePerPoll;
-    if (turn - now > kTurnTimeout)
-      return {.served = false, .at = now + kTurnTimeout};
+    const Micros service_start = std::max(now, free_at_);
+    free_at_ = service_start + kServiceTime;
+    if (service_start - now > kQueueTimeout)
+      return {.served = false, .at = now + kQueueTimeout};
     return {.served = true, .at = free_at_};
   }
 
  private:
-  static constexpr Micros kTimePerPoll = 50 * kMillisecond;
-  static constexpr Micros kTurnTimeout = 2 * kSecond;
+  static constexpr Micros kServiceTime = 50 * kMillisecond;
+  static constexpr Micros kQueueTimeout = 2 * kSecond;
   Micros free_at_ = 0;
 };
 
 struct Outcome {
-  Micros last_served_at = 0;  // when the last of the dispatchers has its list
+  Micros last_served_at = 0;  // time at which the last dispatcher has its list
   int failures = 0;
 };
 
-// All start at once and poll until they are served. Without backoff: within 0.1 s, and again within 0.3 s.
+// All dispatchers start at once and poll until they are served. Without backoff they send the first poll
+// within 0.1 s and each retry within 0.3 s.
 Outcome StartTogether(int dispatchers, std::uint64_t seed, bool with_backoff) {
   std::vector<PollBackoff> backoffs;
   std::mt19937_64 random(seed);
-  using Poll = std::pair<Micros, int>;  // when, and by which dispatcher
+  using Poll = std::pair<Micros, int>;  // time and dispatcher
   std::priority_queue<Poll, std::vector<Poll>, std::greater<>> polls;
   for (int i = 0; i < dispatchers; ++i) {
     backoffs.emplace_back(dispatchers, kMaxDelay, random());
     polls.emplace(with_backoff ? backoffs.back().InitialDelay() : static_cast<Micros>(random() % 100'000), i);
   }
-  ModelledDiscovery discovery;
+  SimulatedDiscovery discovery;
   Outcome outcome;
   while (!polls.empty() && polls.top().first < 60 * kSecond) {
     const auto [at, dispatcher] = polls.top();
     polls.pop();
-    const ModelledDiscovery::Answer answer = discovery.HandlePoll(at);
+    const SimulatedDiscovery::Answer answer = discovery.HandlePoll(at);
     if (answer.served) {
       outcome.last_served_at = std::max(outcome.last_served_at, answer.at);
       continue;
@@ -78,12 +79,12 @@
     const Outcome with_backoff = StartTogether(100, seed, true);
     CHECK(with_backoff.last_served_at < 8 * kSecond);
     CHECK(with_backoff.failures <= 5);
-    // What the backoff prevents, on the same model: most turns go to polls that are abandoned by then.
+    // Without backoff, most of discovery's time is spent on polls that have already been abandoned.
     CHECK(StartTogether(100, seed, false).failures > 100);
   }
 }
 
-TEST_CASE("retries back off up to the bound and start anew after a success") {
+TEST_CASE("retries back off up to the bound and start again with a short delay after a success") {
   for (const int dispatchers : {1, 3, 100, 10'000}) {
     CAPTURE(dispatchers);
     PollBackoff backoff(dispatchers, kMaxDelay, 7);
@@ -92,7 +93,8 @@
     for (int i = 0; i < 200; ++i) {
       const Micros delay = backoff.NextRetryDelay();
       CHECK(delay > 0);
-      // Three hundred that retry within 5 s never get through, as discovery works on abandoned polls too.
+      // With 300 dispatchers, retries within 5 s would never succeed, as discovery also serves abandoned
+      // polls.
       CHECK(delay <= (dispatchers <= 83 ? kMaxDelay : std::min<Micros>(2 * kMaxDelay, dispatchers * 60'000)));
       if (i >= 20)
         longest_late_delay = std::max(longest_late_delay, delay);
--- a/tests/daemon/watch_scheduler_test.cpp
+++ b/tests/daemon/watch_scheduler_test.cpp
@@ -1,6 +1,6 @@
-// The watch scheduler against a modelled discovery that fails in all ways known: is the list ever acted on
-// after a change that is not in it counts as notified, and how long until each dispatcher has a list again?
-// The figures are the table of docs/scale.md (run with -s to print them).
+// Tests the watch scheduler against a simulated discovery with every known kind of fault. Checks that a list
+// is never used after a change that is not in it counts as notified, and measures how long each dispatcher
+// takes to get a list again. docs/scale.md has a table of these figures (run with -s to print them).
 #include "http/watch_scheduler.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 using Kind = WatchScheduler::Kind;
 
-constexpr Micros kMidWatch = 20'730'000;  // in the middle of watches
+constexpr Micros kMidWatch = 20'730'000;  // a time at which watches are in progress
 
 const std::vector<Scenario> kScenarios = {
     {"a fifth of the watches fall silent",
@@ -25,14 +25,14 @@
      {{Fault::kLosesOutstanding, kMidWatch, 0, 0.2}},
      kMidWatch},
     {"all watches fall silent", Kind::kPolled, {{Fault::kLosesOutstanding, kMidWatch}}, kMidWatch},
-    {"a fifth of the watches fall silent, and all calls 2.5 s later",
+    {"a fifth of the watches fall silent, and all polls 2.5 s later",
      Kind::kPolled,
      {{Fault::kLosesOutstanding, kMidWatch, 0, 0.2}, {Fault::kLosesOutstanding, kMidWatch + 2'500'000}},
      kMidWatch,
      100 * kMillisecond,
      43,
      kMidWatch + 2'500'000},
-    {"a fifth of calls and watches fall silent while all start",
+    {"a fifth of polls and watches fall silent while all start",
      Kind::kPolled,
      {{Fault::kStartsDispatchers, 2 * kSecond}, {Fault::kLosesOutstanding, 5'120'000, 0, 0.2}},
      5'120'000,
@@ -54,23 +54,23 @@
      100 * kMillisecond,
      43,
      10 * kSecond},
-    {"all start, first calls are answered with errors for 2 s",
+    {"all start, first polls are answered with errors for 2 s",
      Kind::kPolled,
      {{Fault::kStartsDispatchers, 20 * kSecond}, {Fault::kAnswersErrors, 20 * kSecond, 22 * kSecond}},
      22 * kSecond},
-    {"all start, first calls are never answered for 2 s",
+    {"all start, first polls are never answered for 2 s",
      Kind::kPolled,
      {{Fault::kStartsDispatchers, 20 * kSecond}, {Fault::kSilent, 20 * kSecond, 22 * kSecond}},
      22 * kSecond},
-    {"watches break, calls are answered with errors for 8 s",
+    {"watches break, polls are answered with errors for 8 s",
      Kind::kPolled,
      {{Fault::kBreaksOutstanding, 20 * kSecond}, {Fault::kAnswersErrors, 20 * kSecond, 28 * kSecond}},
      28 * kSecond},
-    {"watches break, calls break off for 8 s",
+    {"watches break, polls break off for 8 s",
      Kind::kPolled,
      {{Fault::kBreaksOutstanding, 20 * kSecond}, {Fault::kBreaksOff, 20 * kSecond, 28 * kSecond}},
      28 * kSecond},
-    {"watches break, calls are never answered for 8 s",
+    {"watches break, polls are never answered for 8 s",
      Kind::kPolled,
      {{Fault::kBreaksOutstanding, 20 * kSecond}, {Fault::kSilent, 20 * kSecond, 28 * kSecond}},
      28 * kSecond},
@@ -109,36 +109,37 @@
     {"agent: moved", Kind::kPushed, {{Fault::kMovesDispatchers, 20 * kSecond}}, 20 * kSecond},
 };
 
-void Add(const Findings& run, Findings* total) {
+void Add(const SimulationResult& run, SimulationResult* total) {
   total->longest_without_list = std::max(total->longest_without_list, run.longest_without_list);
-  total->latest_use = std::max(total->latest_use, run.latest_use);
-  total->longest_stop = std::max(total->longest_stop, run.longest_stop);
+  total->max_stale_use = std::max(total->max_stale_use, run.max_stale_use);
+  total->longest_expiry = std::max(total->longest_expiry, run.longest_expiry);
   total->recovered += run.recovered;
-  total->stopped += run.stopped;
-  total->total_stop += run.total_stop;
+  total->expired += run.expired;
+  total->total_expiry += run.total_expiry;
 }
 
 TEST_CASE("under every discovery fault a list is used only while no missing change counts as notified") {
   for (const Scenario& scenario : kScenarios) {
     for (const int dispatchers : {3, 20, 30, 300}) {
-      Findings total;
+      SimulationResult total;
       for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(scenario.name);
         CAPTURE(dispatchers);
         CAPTURE(seed);
-        const Findings run = DiscoverySimulation(scenario, dispatchers, seed).Run();
-        // Where discovery is polled nothing of the grace is used but the time that an answer travels.
-        CHECK(run.latest_use <= (scenario.kind == Kind::kPushed ? kDrainGrace : kNetworkDelay));
-        CHECK(run.recovered == run.measured);  // each has a list in the end
+        const SimulationResult run = DiscoverySimulation(scenario, dispatchers, seed).Run();
+        // Where discovery is polled, the list is used beyond the bound for no longer than an answer is in
+        // transit.
+        CHECK(run.max_stale_use <= (scenario.kind == Kind::kPushed ? kDrainGrace : kNetworkDelay));
+        CHECK(run.recovered == run.measured);  // every dispatcher has a list again
         Add(run, &total);
       }
       MESSAGE(scenario.name << ", " << dispatchers << ": list after at most "
-                            << total.longest_without_list / kMillisecond << " ms; acted on until "
-                            << -total.latest_use / kMillisecond
-                            << " ms before a change counted as notified; stopped " << total.stopped << " of "
-                            << total.recovered << ", at most for " << total.longest_stop / kMillisecond
-                            << " ms, the mean of all "
-                            << total.total_stop / std::max(1, total.recovered) / kMillisecond << " ms");
+                            << total.longest_without_list / kMillisecond << " ms; used until "
+                            << -total.max_stale_use / kMillisecond
+                            << " ms before a change counted as notified; list expired at " << total.expired
+                            << " of " << total.recovered << ", at most for "
+                            << total.longest_expiry / kMillisecond << " ms, mean of all "
+                            << total.total_expiry / std::max(1, total.recovered) / kMillisecond << " ms");
     }
   }
 }
@@ -148,7 +149,7 @@
   const auto draw = [&](Micros from, Micros to) {
     return std::uniform_int_distribution<Micros>(from, to)(random);
   };
-  Scenario scenario{.name = "drawn",
+  Scenario scenario{.name = "random",
                     .kind = kind,
                     .faults = {},
                     .measured_from = 0,
@@ -158,8 +159,8 @@
     const auto fault = static_cast<Fault::Kind>(draw(Fault::kRefusesConnects, Fault::kSilent));
     const Micros until = at + draw(0, 1) * draw(0, 9 * kSecond) + draw(20, 400) * kMillisecond;
     scenario.faults.push_back({fault, at, until});
-    // A discovery that is back for less time than lies between two probes, or two polls of an agent, is
-    // missed.
+    // The next fault starts only after the interval between two probes, or two polls of an agent: a discovery
+    // that is reachable for less time is not detected.
     at = until + draw(0, 2) * draw(0, 5 * kSecond) +
          (kind == Kind::kPushed ? 1'000 : draw(120, 400)) * kMillisecond;
   }
@@ -174,17 +175,18 @@
 
 TEST_CASE("under randomly drawn faults a list is used only while no missing change counts as notified") {
   for (const Kind kind : {Kind::kPolled, Kind::kPushed}) {
-    Micros latest_use = -kNever;
+    Micros max_stale_use = -kNever;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
       CAPTURE(seed);
       CAPTURE(kind == Kind::kPushed);
       const int dispatchers = static_cast<int>(1 + seed % 12);
-      const Findings run = DiscoverySimulation(DrawScenario(kind, seed), dispatchers, seed).Run();
-      CHECK(run.latest_use <= kDrainGrace);
-      latest_use = std::max(latest_use, run.latest_use);
+      const SimulationResult run = DiscoverySimulation(DrawScenario(kind, seed), dispatchers, seed).Run();
+      CHECK(run.max_stale_use <= kDrainGrace);
+      max_stale_use = std::max(max_stale_use, run.max_stale_use);
     }
     MESSAGE(std::string(kind == Kind::kPushed ? "agent" : "polled")
-            << ": at the latest " << latest_use / kMillisecond << " ms after a change counted as notified");
+            << ": list used until at most " << max_stale_use / kMillisecond
+            << " ms after a change counted as notified");
   }
 }
 
--- a/tests/daemon/worker_client_scenario.h
+++ b/tests/daemon/worker_client_scenario.h
@@ -1,5 +1,6 @@
-// Shared by the worker client's tests: a client on an event loop of its own, a worker that only listens, and
-// what the client has posted. A test can act between two callbacks of one turn of the loop.
+// Shared by the worker client's tests: a client on its own event loop, a worker that only listens, and a
+// record of the events that the client has posted. A test can act between two callbacks of one iteration of
+// the loop.
 #ifndef ALDERSILL_TESTS_DAEMON_WORKER_CLIENT_SCENARIO_H_
 #define ALDERSILL_TESTS_DAEMON_WORKER_CLIENT_SCENARIO_H_
 
@@ -23,7 +24,7 @@
 
 namespace aldersill::tests {
 
-constexpr int kWaitMs = 20'000;  // for what the kernel does anyway, on a slow machine
+constexpr int kWaitMs = 20'000;  // for operations of the kernel that always complete, on a slow machine
 constexpr AttemptId kAttempt{7};
 
 class OwnedSocket {
@@ -67,7 +68,8 @@
     }
   }
 
-  // Returns once the kernel has connected the two, so that the client learns of it in the loop's next turn.
+  // Starts an attempt. Returns once the kernel has established the connection, so that the client is notified
+  // in the next iteration of the loop.
   void Start(const std::string& body = "last") {
     auto job = std::make_shared<Job>();
     job->id = "id";
@@ -90,9 +92,9 @@
     return fd;
   }
 
-  // Runs one turn of the loop. `between` is called after all events that were ready when the turn began, so
-  // after the stream has written, and before the deferred callbacks of streams.
-  void RunTurn(std::function<void()> between = [] {}) {
+  // Runs one iteration of the event loop. `between` is called after all events that were ready at its start,
+  // and so after the stream has written, but before the deferred callbacks of streams.
+  void RunLoopOnce(std::function<void()> between = [] {}) {
     struct Step {
       EventPtr<event> trigger;
       std::function<void()> act;
@@ -106,15 +108,15 @@
     event_active(first.trigger.get(), 0, 0);
     event_base_loop(base_.get(), EVLOOP_NONBLOCK);
   }
-  void RunTurns(int count) {
+  void RunLoop(int count) {
     for (int i = 0; i < count; ++i)
-      RunTurn();
+      RunLoopOnce();
   }
   void RunUntilSent() {
     while (sent == 0)
-      RunTurn();
+      RunLoopOnce();
   }
-  // False if the attempt does not end.
+  // Returns false if the attempt does not end in time.
   bool RunUntilEnded() {
     const timeval wait{kWaitMs / 1000, 0};
     bool timed_out = false;
@@ -146,8 +148,8 @@
  public:
   WorkerClient client;
   bool stop_when_sent = false;
-  bool send_when_connected = true;   // at once, as a core that has no objection
-  std::function<void()> after_send;  // called as soon as the client has been told to send
+  bool send_when_connected = true;   // calls Send on AttemptConnected, as the core normally does
+  std::function<void()> after_send;  // called immediately after Send
   int connected = 0;
   int sent = 0;
   int other_events = 0;
@@ -157,7 +159,8 @@
   OwnedSocket listener_;
 };
 
-// What has arrived and stays unread. Throws nothing, as libevent's frames may be above it.
+// Returns the bytes that have arrived, and leaves them unread. Uses only checks that do not throw, as it may
+// be called from a callback of libevent.
 inline std::string Peek(const OwnedSocket& peer) {
   CHECK(peer.WaitReadable());
   char bytes[4096];
@@ -166,7 +169,7 @@
   return {bytes, static_cast<std::size_t>(std::max<ssize_t>(size, 0))};
 }
 
-// Whether it is all of a request that was started with the body "last".
+// Whether `request` is complete, if its attempt was started with the body "last".
 inline bool IsCompleteRequest(const std::string& request) { return request.ends_with("\r\n\r\nlast"); }
 
 }  // namespace aldersill::tests
--- a/tests/daemon/worker_client_test.cpp
+++ b/tests/daemon/worker_client_test.cpp
@@ -1,5 +1,6 @@
-// When the worker client writes a request, and what it posts between two callbacks of one turn of the event
-// loop: an attempt that was posted as sent may run; any other never ran and may be started elsewhere.
+// Tests when the worker client writes a request, and which events it posts between two callbacks of one
+// iteration of the event loop. An attempt that was posted as sent may run; any other has not run and may be
+// started elsewhere.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -20,24 +21,24 @@
     seen = Peek(peer);
     sent_by_then = scenario.sent;
   };
-  scenario.RunTurn();
+  scenario.RunLoopOnce();
   REQUIRE(IsCompleteRequest(seen));
   CHECK(sent_by_then == 1);
-  scenario.RunTurn();
+  scenario.RunLoopOnce();
   CHECK(scenario.sent == 1);
 }
 
 TEST_CASE("a request written in pieces posts AttemptSent with its last piece") {
   WorkerClientScenario scenario;
-  const std::string body(std::size_t{16} << 20, 'x');  // more than both ends' buffers hold
+  const std::string body(std::size_t{16} << 20, 'x');  // more than the buffers of both ends hold
   scenario.Start(body);
   const OwnedSocket peer(scenario.Accept());
-  scenario.RunTurn();
+  scenario.RunLoopOnce();
   CHECK(scenario.sent == 0);
-  std::size_t head = 0, seen = 0, turns = 0;
+  std::size_t head = 0, seen = 0, iterations = 0;
   const auto is_complete = [&] { return head > 0 && seen == head + body.size(); };
-  for (; !is_complete() && turns < 100'000; ++turns) {
-    scenario.RunTurn([&] {  // right after the stream has written, before its callbacks
+  for (; !is_complete() && iterations < 100'000; ++iterations) {
+    scenario.RunLoopOnce([&] {  // after the stream has written and before its callbacks run
       std::string bytes(std::size_t{1} << 20, 0);
       ssize_t size = 0;
       while ((size = recv(peer.fd(), bytes.data(), bytes.size(), MSG_DONTWAIT)) > 0) {
@@ -57,7 +58,7 @@
   scenario.send_when_connected = false;
   scenario.Start();
   const OwnedSocket peer(scenario.Accept());
-  scenario.RunTurns(5);
+  scenario.RunLoop(5);
   REQUIRE(scenario.connected == 1);
   char byte = 0;
   CHECK(recv(peer.fd(), &byte, 1, MSG_DONTWAIT) == -1);
@@ -65,12 +66,12 @@
     scenario.client.Send({kAttempt, WorkerEndpoint::Source::kDiscovery, 123'456});
     const std::string seen = Peek(peer);
     CHECK(IsCompleteRequest(seen));
-    CHECK(seen.find("\r\nReq-Deadline: 123456u\r\n") != std::string::npos);  // the time that was left at Send
+    CHECK(seen.find("\r\nReq-Deadline: 123456u\r\n") != std::string::npos);  // the time left at Send
     CHECK(scenario.sent == 1);
   }
   SUBCASE("stopped") {
     scenario.client.Stop(kAttempt);
-    scenario.RunTurns(3);
+    scenario.RunLoop(3);
     CHECK(Peek(peer).empty());
     CHECK(scenario.sent + scenario.other_events == 0);
   }
@@ -80,7 +81,7 @@
   WorkerClientScenario scenario;
   scenario.Start(std::string(std::size_t{16} << 20, 'x'));
   OwnedSocket peer(scenario.Accept());
-  scenario.RunTurns(3);
+  scenario.RunLoop(3);
   REQUIRE(scenario.sent == 0);
   peer.Close();
   REQUIRE(scenario.RunUntilEnded());
@@ -92,10 +93,10 @@
   const std::string body(std::size_t{16} << 20, 'x');
   scenario.Start(body);
   const OwnedSocket peer(scenario.Accept());
-  scenario.RunTurns(3);
+  scenario.RunLoop(3);
   REQUIRE(scenario.sent == 0);
   scenario.client.Stop(kAttempt);
-  scenario.RunTurns(3);
+  scenario.RunLoop(3);
   std::string bytes(std::size_t{1} << 20, 0);
   std::size_t seen = 0;
   while (peer.WaitReadable()) {
@@ -114,8 +115,8 @@
   scenario.Start();
   scenario.client.Stop(kAttempt);
   const OwnedSocket peer(scenario.Accept());
-  scenario.RunTurns(3);
-  CHECK(Peek(peer).empty());  // the end of the stream, and nothing before it
+  scenario.RunLoop(3);
+  CHECK(Peek(peer).empty());  // the connection ends without any bytes
   CHECK(scenario.sent + scenario.other_events == 0);
 }
 
@@ -124,7 +125,7 @@
   scenario.stop_when_sent = true;
   scenario.Start();
   const OwnedSocket peer(scenario.Accept());
-  scenario.RunTurns(3);
+  scenario.RunLoop(3);
   CHECK(IsCompleteRequest(Peek(peer)));
   CHECK(scenario.sent == 1);
   CHECK(scenario.other_events == 0);
--- a/tests/daemon/worker_response_test.cpp
+++ b/tests/daemon/worker_response_test.cpp
@@ -1,5 +1,5 @@
-// Which outcome a worker's response gives, however it is framed, cut or malformed, and what it may hold in
-// memory.
+// Tests which outcome a worker's response has, depending on how it is framed, truncated or malformed, and how
+// much memory it may use.
 #include <doctest/doctest.h>
 #include <malloc.h>
 #include <sys/socket.h>
@@ -13,11 +13,10 @@
 namespace aldersill::tests {
 namespace {
 
-// What the worker writes after it has read the request, and how it closes the connection, if it does.
 struct ResponseCase {
-  std::string what;
-  std::string bytes;
-  enum class Then { kNothing, kClose, kReset } then;
+  std::string name;
+  std::string bytes;                                        // written by the worker after the request
+  enum class Ending { kStaysOpen, kClose, kReset } ending;  // of the connection, by the worker
   Outcome outcome;
 };
 
@@ -35,56 +34,59 @@
   const std::string failed = R"({"id":"id","state":"failed"})";
   const std::string returned = R"({"id":"id","state":"returned"})";
   const std::string sized = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(done.size()) + "\r\n\r\n";
-  using Then = ResponseCase::Then;
+  using Ending = ResponseCase::Ending;
   const ResponseCase cases[] = {
-      {"whole", chunked + Chunk(done + "\n") + "0\r\n\r\n", Then::kNothing, Outcome::kServed},
-      {"its framing not ended", chunked + Chunk(done + "\n"), Then::kNothing, Outcome::kServed},
-      {"garbage in the place of the next chunk", chunked + Chunk(done + "\n") + "no chunk", Then::kNothing,
+      {"complete", chunked + Chunk(done + "\n") + "0\r\n\r\n", Ending::kStaysOpen, Outcome::kServed},
+      {"framing not ended", chunked + Chunk(done + "\n"), Ending::kStaysOpen, Outcome::kServed},
+      {"garbage instead of the next chunk", chunked + Chunk(done + "\n") + "no chunk", Ending::kStaysOpen,
        Outcome::kServed},
-      {"a second answer behind it", chunked + Chunk(done + "\n") + until_end + failed + "\n", Then::kNothing,
+      {"followed by a second response", chunked + Chunk(done + "\n") + until_end + failed + "\n",
+       Ending::kStaysOpen, Outcome::kServed},
+      {"a second final line", chunked + Chunk(done + "\n" + failed + "\n"), Ending::kStaysOpen,
        Outcome::kServed},
-      {"a second last line", chunked + Chunk(done + "\n" + failed + "\n"), Then::kNothing, Outcome::kServed},
-      {"another request's line behind it", chunked + Chunk(done + "\n") + Chunk(other + "\n"), Then::kNothing,
+      {"followed by another request's line", chunked + Chunk(done + "\n") + Chunk(other + "\n"),
+       Ending::kStaysOpen, Outcome::kServed},
+      {"preceded by another request's line", chunked + Chunk(other + "\n") + Chunk(done + "\n"),
+       Ending::kStaysOpen, Outcome::kError},
+      {"no line end, with Content-Length", sized + done, Ending::kStaysOpen, Outcome::kServed},
+      {"no line end, chunked", chunked + Chunk(done) + "0\r\n\r\n", Ending::kStaysOpen, Outcome::kServed},
+      {"no line end, closed", until_end + done, Ending::kClose, Outcome::kServed},
+      {"no line end, closed before the end of the framing", chunked + Chunk(done), Ending::kClose,
        Outcome::kServed},
-      {"another request's line before it", chunked + Chunk(other + "\n") + Chunk(done + "\n"), Then::kNothing,
-       Outcome::kError},
-      {"no line's end, sized", sized + done, Then::kNothing, Outcome::kServed},
-      {"no line's end, chunked", chunked + Chunk(done) + "0\r\n\r\n", Then::kNothing, Outcome::kServed},
-      {"no line's end, closed", until_end + done, Then::kClose, Outcome::kServed},
-      {"no line's end, closed within the framing", chunked + Chunk(done), Then::kClose, Outcome::kServed},
-      {"no line's end, handed back", chunked + Chunk(returned) + "0\r\n\r\n", Then::kNothing,
+      {"no line end, returned", chunked + Chunk(returned) + "0\r\n\r\n", Ending::kStaysOpen,
        Outcome::kRejected},
-      {"cut before the last line",
+      {"truncated before the final line",
        chunked + Chunk(R"({"id":"id","state":"running"})"
                        "\n"),
-       Then::kClose, Outcome::kLost},
-      {"cut in the last line", chunked + "40\r\n" + done.substr(0, done.size() - 1), Then::kClose,
+       Ending::kClose, Outcome::kLost},
+      {"truncated in the final line", chunked + "40\r\n" + done.substr(0, done.size() - 1), Ending::kClose,
        Outcome::kLost},
-      {"cut in the last line, with its framing ended",
-       chunked + Chunk(done.substr(0, done.size() - 1)) + "0\r\n\r\n", Then::kNothing, Outcome::kLost},
-      {"reset in the last line", chunked + "40\r\n" + done.substr(0, 10), Then::kReset, Outcome::kLost},
-      {"reset before any", "", Then::kReset, Outcome::kLost},
-      {"closed before any", "", Then::kClose, Outcome::kLost},
-      {"half a head", chunked.substr(0, 20), Then::kClose, Outcome::kLost},
-      {"another's at its end", chunked + Chunk(other) + "0\r\n\r\n", Then::kNothing, Outcome::kLost},
-      {"no HTTP", "hello\r\n\r\n", Then::kNothing, Outcome::kError},
-      {"a line without end", chunked + Chunk(std::string(200'000, 'x')), Then::kNothing, Outcome::kError},
-      {"a head without end", "HTTP/1.1 200 OK\r\nX: " + std::string(200'000, 'x'), Then::kNothing,
-       Outcome::kError},
-      {"a chunk's extension without end", chunked + "1;" + std::string(200'000, 'x'), Then::kNothing,
+      {"truncated in the final line, framing ended",
+       chunked + Chunk(done.substr(0, done.size() - 1)) + "0\r\n\r\n", Ending::kStaysOpen, Outcome::kLost},
+      {"reset in the final line", chunked + "40\r\n" + done.substr(0, 10), Ending::kReset, Outcome::kLost},
+      {"reset before any byte", "", Ending::kReset, Outcome::kLost},
+      {"closed before any byte", "", Ending::kClose, Outcome::kLost},
+      {"incomplete response head", chunked.substr(0, 20), Ending::kClose, Outcome::kLost},
+      {"only another request's line", chunked + Chunk(other) + "0\r\n\r\n", Ending::kStaysOpen,
+       Outcome::kLost},
+      {"not HTTP", "hello\r\n\r\n", Ending::kStaysOpen, Outcome::kError},
+      {"endless line", chunked + Chunk(std::string(200'000, 'x')), Ending::kStaysOpen, Outcome::kError},
+      {"endless response head", "HTTP/1.1 200 OK\r\nX: " + std::string(200'000, 'x'), Ending::kStaysOpen,
        Outcome::kError},
-      {"an error's body without end", "HTTP/1.1 500 No\r\n\r\n" + std::string(200'000, 'x'), Then::kNothing,
+      {"endless chunk extension", chunked + "1;" + std::string(200'000, 'x'), Ending::kStaysOpen,
        Outcome::kError},
+      {"endless body of an error response", "HTTP/1.1 500 No\r\n\r\n" + std::string(200'000, 'x'),
+       Ending::kStaysOpen, Outcome::kError},
   };
   for (const ResponseCase& response : cases) {
-    CAPTURE(response.what);
+    CAPTURE(response.name);
     WorkerClientScenario scenario;
     scenario.Start();
     OwnedSocket peer(scenario.Accept());
     scenario.RunUntilSent();
     REQUIRE(IsCompleteRequest(Peek(peer)));
-    if (response.then != ResponseCase::Then::kReset) {  // otherwise the request stays unread, so that the
-                                                        // close resets the connection
+    // For kReset the request stays unread, so that closing the socket resets the connection.
+    if (response.ending != ResponseCase::Ending::kReset) {
       char bytes[4096];
       REQUIRE(recv(peer.fd(), bytes, sizeof(bytes), 0) > 0);
     }
@@ -94,9 +96,9 @@
       if (written > 0)
         sent += static_cast<std::size_t>(written);
       if (sent < response.bytes.size())
-        scenario.RunTurn();
+        scenario.RunLoopOnce();
     }
-    if (response.then != ResponseCase::Then::kNothing)
+    if (response.ending != ResponseCase::Ending::kStaysOpen)
       peer.Close();
     REQUIRE(scenario.RunUntilEnded());
     CHECK(scenario.ended->outcome == response.outcome);
@@ -122,14 +124,14 @@
           send(peer.fd(), bytes.data() + sent, bytes.size() - sent, MSG_DONTWAIT | MSG_NOSIGNAL);
       if (written > 0)
         sent += static_cast<std::size_t>(written);
-      scenario.RunTurn();
+      scenario.RunLoopOnce();
       peak = std::max(peak, mallinfo2().uordblks);
     }
     CHECK(peak < before + (std::size_t{1} << 20));
     CHECK_FALSE(scenario.ended);
     scenario.client.Stop(kAttempt);
-    scenario.RunTurns(3);
-    CHECK(peer.WaitReadable());  // its close
+    scenario.RunLoop(3);
+    CHECK(peer.WaitReadable());  // the connection was closed
     CHECK_FALSE(scenario.ended);
   }
 }
