--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -19,6 +19,8 @@
 
 namespace {
 
+// Appends lines about one instance to `out`. The call operators write the line of an action, without the line
+// end.
 class ActionWriter {
  public:
   ActionWriter(std::int64_t instance, std::string* out) : instance_(instance), out_(out) {}
@@ -63,6 +65,7 @@
     Field("message", OneLine(log.text));
   }
 
+  // Starts a line: the tag and the number of the instance.
   void Begin(std::string_view tag) {
     out_->append(tag);
     Field("who", instance_);
@@ -78,6 +81,7 @@
       out_->append(value);
     }
   }
+  // Replaces line ends and tabs, which would split the field, by spaces.
   static std::string OneLine(std::string_view text) {
     std::string line(text);
     std::replace_if(
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -1,4 +1,4 @@
-// Writes actions and faults as lines.
+// Writes the dispatcher's actions, and faults of instances, as lines of the simulator's text protocol.
 #ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 #define ALDERSILL_SRC_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 
@@ -10,9 +10,9 @@
 
 namespace aldersill::simulator_adapter {
 
-// Appends the line of one action with its line end.
+// Appends one action of the instance to `out` as a line, including the line end.
 void WriteAction(std::int64_t instance, const dispatch::Action& action, std::string* out);
-// Appends the line that reports that an instance has failed, with its line end.
+// Appends to `out` the line that reports that an instance has failed, including the line end.
 void WriteFault(std::int64_t instance, std::string_view message, std::string* out);
 
 }  // namespace aldersill::simulator_adapter
--- a/src/simulator_adapter/event_parser.cpp
+++ b/src/simulator_adapter/event_parser.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr double kMostSlots = 1e6;  // that a job may ask for
+constexpr double kMaxSlotsPerJob = 1e6;  // largest number of slots that a job may need
 
 Outcome ParseOutcome(std::string_view value) {
   if (value == "delivered")
@@ -41,11 +41,11 @@
     return Outcome::kCancelled;
   if (value == "unused")
     return Outcome::kNotSent;
-  ThrowMalformed("result", value, "an outcome code");
+  ThrowMalformed("result", value, "a known outcome");
 }
 
-// One value of a load report. What `x0` stands for is a setting of the simulator: the free slots. Values of
-// other names, such as free memory, are ignored.
+// Stores one value of a load report. The meaning of `x0` is a setting of the simulator; here it is the number
+// of free slots. Values with other names, such as free memory, are ignored.
 void SetReportValue(std::string_view name, double value, LoadReport* report) {
   if (name == "busy_reqs")
     report->running_jobs = value;
@@ -63,6 +63,7 @@
     report->free_slots = value;
 }
 
+// Parses the field `stats`: name:value pairs separated by commas, or '-' for an empty report.
 LoadReport ParseReport(const Line& line) {
   LoadReport report;
   std::string_view text = line.TextOr("stats", "");
@@ -136,8 +137,8 @@
   if (line.Has("work"))
     arrival.work = line.Int("work");
   const double slots = line.NumberOr("needs", 1.0);
-  if (slots < 0.0 || slots > kMostSlots)
-    ThrowMalformed("needs", line.Text("needs"), "a number of slots");
+  if (slots < 0.0 || slots > kMaxSlotsPerJob)
+    ThrowMalformed("needs", line.Text("needs"), "a number of slots from 0 to 1000000");
   arrival.slots = std::max(1, static_cast<int>(std::ceil(slots)));
   arrival.is_retry = line.BoolOr("retry", false);
   return arrival;
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -25,11 +25,13 @@
 using dispatch::TimerFired;
 using dispatch::WorkerList;
 
+// The state behind Serve(): the streams, the reply under construction and the instances.
 class Server {
  public:
   Server(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
-  // Reads one batch of events and writes its reply; false at the end of input.
+  // Reads one batch of events and writes its reply. Returns false at the end of input. Throws FormatError if
+  // the batch is malformed.
   bool ServeBatch() {
     do {
       if (!NextLine())
@@ -37,13 +39,14 @@
     } while (text_.empty());
     const Line opening(text_);
     if (opening.tag() != "turn")
-      throw FormatError("'" + std::string(opening.tag()) + "' outside a batch");
+      throw FormatError("message '" + std::string(opening.tag()) + "' where 'turn' must begin a batch");
     now_ = opening.Int("atTime");
     const std::int64_t serial = opening.Int("serial");
     reply_.clear();
     while (true) {
       if (!NextLine())
-        throw FormatError("batch " + std::to_string(serial) + " is truncated");
+        throw FormatError("batch " + std::to_string(serial) +
+                          " is truncated: the input ends before its 'end' line");
       const Line line(text_);
       if (line.tag() == "end")
         break;
@@ -55,9 +58,11 @@
     return true;
   }
 
+  // Number of the line read last, from 1.
   std::int64_t line_number() const { return line_number_; }
 
  private:
+  // Reads the next line into text_. Returns false at the end of input.
   bool NextLine() {
     if (!std::getline(in_, text_))
       return false;
@@ -73,7 +78,7 @@
     } else if (tag == "detach") {
       instances_.erase(instance);
     } else if (tag == "mail") {
-      // Instances of this module don't use messages to their neighbours: a well-formed one is ignored.
+      // The decision module exchanges no messages between instances, so a well-formed one is ignored.
       line.Int("neighbour");
     } else {
       HandleEvent(instance, ParseEvent(line));
@@ -101,39 +106,42 @@
     throw FormatError("unknown message '" + std::string(tag) + "'");
   }
 
+  // Parses the header line of a worker list and reads its entries, one line each.
   WorkerList ReadWorkerList(const Line& line) {
     WorkerList list;
     list.form = ParseListForm(line);
     const std::int64_t entries = line.IntOr("hosts", 0);
     for (std::int64_t i = 0; i < entries; ++i) {
       if (!NextLine())
-        throw FormatError("a worker list is truncated");
+        throw FormatError("worker list is truncated: the input ends before its last entry");
       const Line entry(text_);
       if (entry.tag() != "m")
-        throw FormatError("'" + std::string(entry.tag()) + "' inside a worker list");
+        throw FormatError("message '" + std::string(entry.tag()) +
+                          "' where an entry 'm' of a worker list must follow");
       list.workers.push_back(ParseWorker(entry));
     }
     return list;
   }
 
-  void StartInstance(std::int64_t instance, InstanceSettings begin) {
+  // Creates the instance, replacing one of the same number. Invalid settings are reported as its fault.
+  void StartInstance(std::int64_t instance, InstanceSettings parsed) {
     instances_.erase(instance);
     ReportFaults(instance, [&] {
-      instances_[instance] = std::make_unique<Dispatcher>(std::move(begin.settings), begin.seed);
+      instances_[instance] = std::make_unique<Dispatcher>(std::move(parsed.settings), parsed.seed);
     });
   }
 
   void HandleEvent(std::int64_t instance, const Event& event) {
     const auto found = instances_.find(instance);
     if (found == instances_.end())
-      throw FormatError("field who: no instance " + std::to_string(instance));
+      throw FormatError("field who: there is no instance " + std::to_string(instance));
     actions_.clear();
     ReportFaults(instance, [&] { found->second->Handle(now_, event, &actions_); });
     for (const Action& action : actions_)
       WriteAction(instance, action, &reply_);
   }
 
-  // Runs `body`; an exception becomes a line in the reply and ends nothing else.
+  // Runs `body`. An exception is reported as a line of the reply; the other instances are not affected.
   template <typename Body>
   void ReportFaults(std::int64_t instance, Body body) {
     try {
@@ -145,7 +153,7 @@
 
   std::istream& in_;
   std::ostream& out_;
-  std::string text_;
+  std::string text_;  // the line read last
   std::int64_t line_number_ = 0;
   Micros now_ = 0;
   std::string reply_;
--- a/src/simulator_adapter/line.cpp
+++ b/src/simulator_adapter/line.cpp
@@ -11,14 +11,14 @@
     return true;
   if (value == "0" || value == "false")
     return false;
-  ThrowMalformed(name, value, "a bool");
+  ThrowMalformed(name, value, "0, 1, true or false");
 }
 
 }  // namespace
 
-void ThrowMalformed(std::string_view name, std::string_view value, std::string_view wanted) {
+void ThrowMalformed(std::string_view name, std::string_view value, std::string_view expected) {
   throw FormatError("field " + std::string(name) + ": '" + std::string(value) + "' is not " +
-                    std::string(wanted));
+                    std::string(expected));
 }
 
 double ParseNumber(std::string_view name, std::string_view value) {
@@ -40,7 +40,7 @@
     } else if (const std::size_t equals = part.find('='); equals != std::string_view::npos) {
       fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
     } else {
-      throw FormatError("part '" + std::string(part) + "' of " + std::string(tag_) + " is not name=value");
+      throw FormatError("'" + std::string(part) + "' in message " + std::string(tag_) + " is not name=value");
     }
     first = false;
     if (tab == std::string_view::npos)
@@ -60,7 +60,7 @@
 std::string_view Line::Text(std::string_view name) const {
   const std::string_view value = Find(name);
   if (value.empty())
-    throw FormatError("field " + std::string(name) + " of " + std::string(tag_) + " is missing");
+    throw FormatError("field " + std::string(name) + " of message " + std::string(tag_) + " is missing");
   return value;
 }
 
@@ -72,7 +72,7 @@
 std::int64_t Line::Int(std::string_view name) const {
   const auto value = ParseAs<std::int64_t>(name, Text(name), "an integer");
   if (value < 0)
-    ThrowMalformed(name, Text(name), "zero or more");
+    ThrowMalformed(name, Text(name), "a non-negative integer");
   return value;
 }
 
--- a/src/simulator_adapter/line.h
+++ b/src/simulator_adapter/line.h
@@ -1,4 +1,4 @@
-// A line of the simulator's format: a tag, then tab-separated name=value fields.
+// Parses one line of the simulator's text protocol: a tag, then name=value fields, all separated by tabs.
 #ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_LINE_H_
 #define ALDERSILL_SRC_SIMULATOR_ADAPTER_LINE_H_
 
@@ -13,20 +13,23 @@
 
 namespace aldersill::simulator_adapter {
 
-// Malformed input; the text names what is wrong, the server adds the line number.
+// Thrown on malformed input. The message says what is malformed; Serve() adds the line number.
 class FormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One line: its tag and its fields, as views into the text that it was parsed from.
+// The tag and the fields of one line, as views into the text it was parsed from, which must outlive it.
 class Line {
  public:
+  // Throws FormatError if a part after the tag has no '='.
   explicit Line(std::string_view text);
 
   std::string_view tag() const { return tag_; }
+  // A field with an empty value counts as missing.
   bool Has(std::string_view name) const { return !Find(name).empty(); }
-  // Required fields throw FormatError when missing or malformed; optional ones only when malformed.
+  // Text() and Int() throw FormatError if the field is missing or malformed. The others return `fallback` if
+  // it is missing and throw only if it is malformed. Integers must not be negative; numbers must be finite.
   std::string_view Text(std::string_view name) const;
   std::string_view TextOr(std::string_view name, std::string_view fallback) const;
   std::int64_t Int(std::string_view name) const;
@@ -35,26 +38,27 @@
   bool BoolOr(std::string_view name, bool fallback) const;
 
  private:
+  // The value of the field, or an empty text if the line does not have it.
   std::string_view Find(std::string_view name) const;
 
   std::string_view tag_;
   std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// Throws FormatError: the field is not what was wanted.
-[[noreturn]] void ThrowMalformed(std::string_view name, std::string_view value, std::string_view wanted);
+// Throws FormatError with a message that names the field, its value and what was expected in its place.
+[[noreturn]] void ThrowMalformed(std::string_view name, std::string_view value, std::string_view expected);
 
-// The whole value as a number; throws FormatError naming the field.
+// Parses the whole value as a number of type T. Throws FormatError that names the field if it is malformed.
 template <typename T>
-T ParseAs(std::string_view name, std::string_view value, std::string_view wanted) {
+T ParseAs(std::string_view name, std::string_view value, std::string_view expected) {
   T parsed{};
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parsed);
   if (error != std::errc() || end != value.data() + value.size())
-    ThrowMalformed(name, value, wanted);
+    ThrowMalformed(name, value, expected);
   return parsed;
 }
 
-// As ParseAs; infinities and NaN are malformed.
+// Like ParseAs<double>, but also rejects infinities and NaN.
 double ParseNumber(std::string_view name, std::string_view value);
 
 }  // namespace aldersill::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// The program that the simulator runs: the decision module behind standard input and output.
+// The program that the simulator starts: it connects the decision module to standard input and output.
 #include <iostream>
 
 #include "simulator_adapter/host.h"
--- a/src/simulator_adapter/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -17,6 +17,7 @@
 
 namespace {
 
+// Splits a text at its commas. An empty text gives an empty list.
 std::vector<std::string> SplitList(std::string_view text) {
   std::vector<std::string> items;
   while (!text.empty()) {
@@ -27,8 +28,8 @@
   return items;
 }
 
-// The item at this index of a list setting; where the list is shorter its last item stands for the rest.
-std::optional<std::string> ItemOf(const std::vector<std::string>& items, std::size_t index) {
+// The item at this index of a list setting, or its last item if the list is shorter; nullopt if it is empty.
+std::optional<std::string> ItemOrLast(const std::vector<std::string>& items, std::size_t index) {
   if (items.empty())
     return std::nullopt;
   return items[std::min(index, items.size() - 1)];
@@ -68,13 +69,13 @@
   job_class.streaming = line.BoolOr(prefix + "streaming", job_class.streaming);
   job_class.repeat = ParseRepeat(line, prefix + "repeat");
   job_class.scope = ParseScope(line, prefix + "dedupScope");
-  const auto kind = ItemOf(SplitList(line.TextOr("familyInfo.classKind", "")), index);
+  const auto kind = ItemOrLast(SplitList(line.TextOr("familyInfo.classKind", "")), index);
   if (kind)
     job_class.kind = ParseAs<int>("familyInfo.classKind", *kind, "an integer");
-  const auto priority = ItemOf(SplitList(line.TextOr("familyInfo.classPriority", "")), index);
+  const auto priority = ItemOrLast(SplitList(line.TextOr("familyInfo.classPriority", "")), index);
   if (priority)
     job_class.priority = ParseAs<int>("familyInfo.classPriority", *priority, "an integer");
-  const auto stretch = ItemOf(SplitList(line.TextOr("familyInfo.classStretch", "")), index);
+  const auto stretch = ItemOrLast(SplitList(line.TextOr("familyInfo.classStretch", "")), index);
   if (stretch)
     job_class.stretch = ParseNumber("familyInfo.classStretch", *stretch);
   job_class.stretch = line.NumberOr(prefix + "aimStretch", job_class.stretch);
@@ -91,7 +92,7 @@
   return tenant;
 }
 
-// What the deployment tells of workers and traffic.
+// Parses the settings that describe the deployment: its workers, nodes and traffic.
 void ParseDeployment(const Line& line, Settings* settings) {
   settings->kinds = SplitList(line.TextOr("machineTypes", ""));
   settings->zones = SplitList(line.TextOr("zones", ""));
@@ -110,7 +111,8 @@
     settings->reports = Settings::Reports::kProbesOnly;
 }
 
-// What a dispatcher may do, the rules it has to keep and the prices.
+// Parses the actions that a dispatcher may take, the parameters of the rules that it must keep, and the
+// prices.
 void ParseLimits(const Line& line, Settings* settings) {
   settings->probes = line.BoolOr("limits.probes", settings->probes);
   settings->cancel = line.BoolOr("limits.cancel", settings->cancel);
@@ -133,7 +135,7 @@
 
 InstanceSettings ParseInstanceSettings(const Line& line) {
   InstanceSettings parsed;
-  // Some seeds use all 64 bits.
+  // Some seeds use all 64 bits, so Line::Int(), which is signed, would reject them.
   parsed.seed = ParseAs<std::uint64_t>("nonce64", line.Text("nonce64"), "an integer");
   const auto classes = static_cast<std::size_t>(line.IntOr("grades.count", 0));
   for (std::size_t i = 0; i < classes; ++i)
--- a/src/simulator_adapter/settings_parser.h
+++ b/src/simulator_adapter/settings_parser.h
@@ -1,4 +1,4 @@
-// Reads how an instance begins: its seed and settings.
+// Parses the line that starts an instance: its seed and settings.
 #ifndef ALDERSILL_SRC_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 #define ALDERSILL_SRC_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 
@@ -9,12 +9,13 @@
 
 namespace aldersill::simulator_adapter {
 
-// How an instance begins.
 struct InstanceSettings {
   std::uint64_t seed = 0;
   dispatch::Settings settings;
 };
 
+// Throws FormatError if a required field is missing or a field is malformed. Unknown fields are ignored.
+// Whether the settings are valid is left to the dispatcher's constructor.
 InstanceSettings ParseInstanceSettings(const Line& line);
 
 }  // namespace aldersill::simulator_adapter
--- a/tests/dispatch_digest_test.cpp
+++ b/tests/dispatch_digest_test.cpp
@@ -1,8 +1,9 @@
-// Compares the dispatcher's actions on generated event sequences with recorded digests, so that a change
-// which is meant to keep its decisions can be shown to keep them. Each seed draws settings and a small
-// simulated fleet; its digest is a 64-bit FNV-1a hash over every field of every action.
+// Compares the dispatcher's actions on generated event sequences with recorded digests. This detects any
+// change of its decisions by a refactoring. Each seed draws settings and a small simulated fleet; its digest
+// is a 64-bit FNV-1a hash over every field of every action.
 //
-// After an intended change of decisions record anew: ALDERSILL_RECORD_DISPATCH_DIGESTS=1 dispatch_digest_test
+// To record new digests after an intended change of decisions, run
+// ALDERSILL_RECORD_DISPATCH_DIGESTS=1 dispatch_digest_test
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,12 +27,13 @@
 constexpr std::uint64_t kSeeds = 2000;
 constexpr int kEventsPerSeed = 400;
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kStart = 1000 * kSecond;
+constexpr Micros kStartTime = 1000 * kSecond;
 
-// Draws by integer arithmetic on the raw output of a standard engine: alike on every platform.
-class Draws {
+// Draws numbers by integer arithmetic on the raw output of a standard engine, so that all platforms draw the
+// same.
+class RandomDraws {
  public:
-  explicit Draws(std::uint64_t seed) : engine_(seed) {}
+  explicit RandomDraws(std::uint64_t seed) : engine_(seed) {}
   // In [0, below).
   std::int64_t Below(std::int64_t below) {
     return static_cast<std::int64_t>(engine_() % static_cast<std::uint64_t>(below));
@@ -47,6 +49,7 @@
   std::mt19937_64 engine_;
 };
 
+// The FNV-1a hash of the values added so far.
 class Digest {
  public:
   void Add(std::uint64_t value) {
@@ -78,11 +81,11 @@
     Add(cancel.request);
     Add(static_cast<std::uint64_t>(cancel.attempt_number));
   }
-  void AddFields(const Reject& refuse) {
-    Add(refuse.request);
-    Add(refuse.retry_after);
+  void AddFields(const Reject& rejection) {
+    Add(rejection.request);
+    Add(rejection.retry_after);
   }
-  void AddFields(const Fail& fail) { Add(fail.request); }
+  void AddFields(const Fail& failure) { Add(failure.request); }
   void AddFields(const SetTimer& timer) {
     Add(timer.delay);
     Add(timer.token);
@@ -96,7 +99,7 @@
 
 // ---- Settings ----
 
-ClassSettings DrawClass(Draws* draws, std::string name, int kinds) {
+ClassSettings DrawClass(RandomDraws* draws, std::string name, int kinds) {
   ClassSettings job_class;
   job_class.name = std::move(name);
   job_class.target = draws->Between(20, 2'000) * 1'000;
@@ -113,7 +116,7 @@
   return job_class;
 }
 
-Settings DrawSettings(Draws* draws) {
+Settings DrawSettings(RandomDraws* draws) {
   Settings settings;
   const char* const kKinds[] = {"box", "crate", "drum"};
   const char* const kZones[] = {"near", "far", "farther"};
@@ -158,7 +161,8 @@
   return settings;
 }
 
-// The options that decide which parts of the module run, set as in four kinds of deployment.
+// Sets the options that decide which parts of the module run, as in four kinds of deployment. Profiles from 4
+// on keep the drawn settings.
 void ApplyProfile(std::uint64_t profile, Settings* settings) {
   using Reports = Settings::Reports;
   const auto keyed = [settings](KeyScope scope) {
@@ -201,20 +205,21 @@
 
 // ---- A small fleet and its clients ----
 
-// Plays events against one dispatcher: what its actions ask for comes back as later events.
+// Passes events to one dispatcher and schedules the events that result from its actions.
 class Playback {
  public:
   explicit Playback(std::uint64_t seed)
       : draws_(seed), settings_(MakeSettings(seed, &draws_)), dispatcher_(settings_, seed) {
     workers_ = static_cast<int>(draws_.Between(3, 40));
-    gap_ = draws_.Between(1, 10) * (draws_.OneIn(2) ? 1'000 : 20'000);
-    run_ = settings_.classes.front().target / draws_.Between(1, 10) + 1'000;
-    trouble_ = draws_.Between(3, 40);
+    mean_gap_ = draws_.Between(1, 10) * (draws_.OneIn(2) ? 1'000 : 20'000);
+    mean_run_time_ = settings_.classes.front().target / draws_.Between(1, 10) + 1'000;
+    failure_interval_ = draws_.Between(3, 40);
   }
 
+  // Runs the sequence and returns its digest.
   std::uint64_t Run() {
     Schedule(0, DrawList(WorkerList::Form::kFull));
-    Schedule(draws_.Below(gap_), MakeArrival());
+    Schedule(draws_.Below(mean_gap_), MakeArrival());
     for (int played = 0; played < kEventsPerSeed && !queue_.empty(); ++played) {
       const Scheduled next = queue_.top();
       queue_.pop();
@@ -225,13 +230,13 @@
       digest_.Add(static_cast<std::uint64_t>(dispatcher_.IsEjected(WorkerName(i))));
     return digest_.value();
   }
-  // By the index of the action's alternative.
+  // The number of actions by the index of their alternative in Action.
   const std::vector<std::uint64_t>& action_counts() const { return action_counts_; }
 
  private:
   struct Scheduled {
     Micros at;
-    std::size_t event;  // index into events_, which also orders those of one time
+    std::size_t event;  // index into events_; orders events of the same time
     bool operator<(const Scheduled& other) const {
       return std::tie(at, event) > std::tie(other.at, other.event);
     }
@@ -244,7 +249,7 @@
     bool ended = false;
   };
 
-  static Settings MakeSettings(std::uint64_t seed, Draws* draws) {
+  static Settings MakeSettings(std::uint64_t seed, RandomDraws* draws) {
     Settings settings = DrawSettings(draws);
     ApplyProfile(seed % 8, &settings);
     return settings;
@@ -276,7 +281,7 @@
     digest_.Add(static_cast<std::uint64_t>(actions_.size()));
   }
 
-  // False if the attempt has ended before.
+  // Marks the attempt as ended and sets `request_ended`. Returns false if the attempt has already ended.
   bool PrepareEnd(AttemptEnded* end) {
     SentRequest& request = requests_[end->request];
     if (std::exchange(request.attempts[end->attempt_number].ended, true))
@@ -286,19 +291,20 @@
     return true;
   }
 
-  // The next arrival, and now and then something that happens to the fleet or a client.
+  // Schedules the next arrival and, at random, a change of the worker list or a client that disconnects.
   void ScheduleNext() {
-    const std::int64_t busy = (arrivals_ / 40) % 3 == 1 ? 8 : 1;  // every third stretch is a surge
-    Schedule(draws_.Below(2 * gap_ / busy + 1), MakeArrival());
+    // Every third block of 40 arrivals is a surge.
+    const std::int64_t rate_factor = (arrivals_ / 40) % 3 == 1 ? 8 : 1;
+    Schedule(draws_.Below(2 * mean_gap_ / rate_factor + 1), MakeArrival());
     if (draws_.OneIn(12))
-      Schedule(draws_.Below(gap_),
+      Schedule(draws_.Below(mean_gap_),
                ClientGone{RequestId{static_cast<std::uint64_t>(draws_.Between(1, arrivals_))}});
     if (!draws_.OneIn(10))
       return;
     const WorkerList::Form kForms[] = {WorkerList::Form::kDelta, WorkerList::Form::kDelta,
                                        WorkerList::Form::kFull, WorkerList::Form::kCached,
                                        WorkerList::Form::kFailed};
-    Schedule(draws_.Below(gap_), DrawList(kForms[draws_.Below(5)]));
+    Schedule(draws_.Below(mean_gap_), DrawList(kForms[draws_.Below(5)]));
   }
 
   Arrival MakeArrival() {
@@ -315,7 +321,7 @@
     const Micros deadline = settings_.classes[drawn].deadline;
     arrival.time_left = draws_.OneIn(100) ? 0 : deadline / 2 + draws_.Below(deadline);
     if (draws_.OneIn(3))
-      arrival.work = run_;
+      arrival.work = mean_run_time_;
     arrival.slots = draws_.OneIn(4) ? static_cast<int>(draws_.Between(2, 4)) : 1;
     arrival.is_retry = draws_.OneIn(10);
     return arrival;
@@ -369,26 +375,27 @@
   }
 
   Outcome DrawOutcome() {
-    if (!draws_.OneIn(trouble_))
+    if (!draws_.OneIn(failure_interval_))
       return Outcome::kServed;
     return static_cast<Outcome>(draws_.Between(1, 7));
   }
 
-  // ---- What the actions ask for ----
+  // ---- Carrying out actions ----
 
   void CarryOut(const Send& send) {
     SentRequest& request = requests_[send.request];
     const int number = static_cast<int>(request.attempts.size());
     request.attempts.emplace_back();
-    const Micros delay = draws_.OneIn(4) ? draws_.Below(4 * run_) : draws_.Below(run_ / 4 + 1);
+    const Micros delay =
+        draws_.OneIn(4) ? draws_.Below(4 * mean_run_time_) : draws_.Below(mean_run_time_ / 4 + 1);
     if (draws_.OneIn(15))
-      return;  // a worker that answers nothing, unless the attempt is cancelled
+      return;  // the worker never answers, unless the attempt is cancelled
     const Outcome outcome = DrawOutcome();
     const bool runs =
         outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
     if (runs && settings_.reports_start)
       Schedule(delay, Progress{send.request, number, true, 0.0});
-    const Micros ran = runs ? draws_.Below(2 * run_) : 0;
+    const Micros ran = runs ? draws_.Below(2 * mean_run_time_) : 0;
     if (runs && draws_.OneIn(10))
       Schedule(delay + ran / 2, StreamStarted{send.request, number});
     if (runs && settings_.progress > 0 && draws_.OneIn(4))
@@ -409,8 +416,8 @@
     end.outcome = Outcome::kCancelled;
     Schedule(draws_.Below(20'000), end);
   }
-  void CarryOut(const Reject& refuse) { requests_[refuse.request].ended = true; }
-  void CarryOut(const Fail& fail) { requests_[fail.request].ended = true; }
+  void CarryOut(const Reject& rejection) { requests_[rejection.request].ended = true; }
+  void CarryOut(const Fail& failure) { requests_[failure.request].ended = true; }
   void CarryOut(const SetTimer& timer) { Schedule(timer.delay, TimerFired{timer.token}); }
   void CarryOut(const Probe& probe) {
     if (draws_.OneIn(8))
@@ -430,15 +437,15 @@
   }
   void CarryOut(const Log& /*log*/) {}
 
-  Draws draws_;
+  RandomDraws draws_;
   Settings settings_;
   Dispatcher dispatcher_;
   Digest digest_;
-  Micros now_ = kStart;
+  Micros now_ = kStartTime;
   int workers_ = 0;
-  Micros gap_ = 0;            // mean time between arrivals outside surges
-  Micros run_ = 0;            // mean running time
-  std::int64_t trouble_ = 0;  // one attempt in so many fails
+  Micros mean_gap_ = 0;  // mean time between arrivals outside surges
+  Micros mean_run_time_ = 0;
+  std::int64_t failure_interval_ = 0;  // on average one attempt in this number fails
   std::int64_t arrivals_ = 0;
   std::map<RequestId, SentRequest> requests_;
   std::vector<Event> events_;
@@ -482,7 +489,7 @@
   EXPECT_EQ(differing, 0u) << "the first seed that differs: " << first;
 }
 
-// Were a kind of action rare, the digests would cover less than they seem to.
+// The digests cover a kind of action only if it is frequent in the sequences.
 TEST(DispatchDigest, EveryKindOfActionIsFrequent) {
   std::vector<std::uint64_t> counts(std::variant_size_v<Action>);
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
--- a/tests/embedding/main.cpp
+++ b/tests/embedding/main.cpp
@@ -1,3 +1,5 @@
+// Example of a program that embeds the decision module: passes it a worker list and one job, and prints where
+// the job is to be sent.
 #include <iostream>
 #include <vector>
 
@@ -6,10 +8,10 @@
 int main() {
   using namespace aldersill::dispatch;
   Settings settings;
-  ClassSettings price;
-  price.name = "price";
-  price.repeat = Repeat::kRepeatable;
-  settings.classes = {price};
+  ClassSettings job_class;
+  job_class.name = "price";
+  job_class.repeat = Repeat::kRepeatable;
+  settings.classes = {job_class};
   settings.kinds = {"box"};
   settings.zones = {"north"};
   settings.zone = "north";
--- a/tests/embedding/run.cmake
+++ b/tests/embedding/run.cmake
@@ -1,4 +1,5 @@
-# Installs the build into a scratch prefix, then builds and runs the example against it.
+# Installs the build into a temporary prefix, then builds the example against the installed package and runs
+# it.
 set(work ${BUILD_DIR}/embedding)
 file(REMOVE_RECURSE ${work})
 function(run)
@@ -13,5 +14,5 @@
 run(${CMAKE_COMMAND} --build ${work}/build)
 run(${work}/build/embedding)
 if(NOT output MATCHES "send to w1")
-  message(FATAL_ERROR "the example sent nothing: ${output}")
+  message(FATAL_ERROR "the example was expected to print \"send to w1\" but printed: ${output}")
 endif()
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -1,4 +1,4 @@
-// Each request gets one final answer, in time.
+// Tests that each request gets exactly one final answer, in time.
 #include <gtest/gtest.h>
 
 #include "driver.h"
@@ -10,86 +10,86 @@
 
 TEST(FinalAnswer, AnswersAtTheDeadlineWhereTheAttemptIsSilent) {
   for (const char* job_class : kClasses) {
-    Driver d(BasicSettings());
-    d.List({Entry("a")});
-    d.Arrive(1, job_class, 2 * kSecond);
-    EXPECT_EQ(FinalAnswers(d.Advance(d.now + 2 * kSecond - 1)), 0) << job_class;
-    EXPECT_EQ(FinalAnswers(d.Advance(d.now + 1)), 1) << job_class;
-    EXPECT_EQ(FinalAnswers(d.End(1, 0, Outcome::kTimeout)), 0) << job_class;
-    EXPECT_EQ(FinalAnswers(d.Advance(d.now + 10 * kSecond)), 0) << job_class;
+    Driver driver(BasicSettings());
+    driver.List({Entry("a")});
+    driver.Arrive(1, job_class, 2 * kSecond);
+    EXPECT_EQ(FinalAnswers(driver.Advance(driver.now + 2 * kSecond - 1)), 0) << job_class;
+    EXPECT_EQ(FinalAnswers(driver.Advance(driver.now + 1)), 1) << job_class;
+    EXPECT_EQ(FinalAnswers(driver.End(1, 0, Outcome::kTimeout)), 0) << job_class;
+    EXPECT_EQ(FinalAnswers(driver.Advance(driver.now + 10 * kSecond)), 0) << job_class;
   }
 }
 
 TEST(FinalAnswer, DoesNothingAfterTheRequestHasEnded) {
   for (const char* job_class : kClasses) {
-    Driver d(BasicSettings());
-    d.List({Entry("a"), Entry("b")});
-    d.Arrive(1, job_class);
-    d.End(1, 0, Outcome::kServed, true);
-    d.all.clear();
-    d.End(1, 0, Outcome::kServed, true);
-    d.Do(ClientGone{RequestId{1}});
-    d.Advance(d.now + 10 * kSecond);
-    EXPECT_EQ(FinalAnswers(d.all) + Count<Send>(d.all), 0) << job_class;
+    Driver driver(BasicSettings());
+    driver.List({Entry("a"), Entry("b")});
+    driver.Arrive(1, job_class);
+    driver.End(1, 0, Outcome::kServed, true);
+    driver.all.clear();
+    driver.End(1, 0, Outcome::kServed, true);
+    driver.Do(ClientGone{RequestId{1}});
+    driver.Advance(driver.now + 10 * kSecond);
+    EXPECT_EQ(FinalAnswers(driver.all) + Count<Send>(driver.all), 0) << job_class;
   }
 }
 
 TEST(FinalAnswer, SendsNoAnswerToAClientThatHasDisconnected) {
   for (const char* job_class : kClasses) {
-    Driver d(BasicSettings());
-    d.List({Entry("a"), Entry("b")});
-    d.Arrive(1, job_class);
-    d.Do(ClientGone{RequestId{1}});
-    d.all.clear();
-    d.End(1, 0, Outcome::kError);
-    d.Advance(d.now + 10 * kSecond);
-    EXPECT_EQ(FinalAnswers(d.all) + Count<Send>(d.all), 0) << job_class;
+    Driver driver(BasicSettings());
+    driver.List({Entry("a"), Entry("b")});
+    driver.Arrive(1, job_class);
+    driver.Do(ClientGone{RequestId{1}});
+    driver.all.clear();
+    driver.End(1, 0, Outcome::kError);
+    driver.Advance(driver.now + 10 * kSecond);
+    EXPECT_EQ(FinalAnswers(driver.all) + Count<Send>(driver.all), 0) << job_class;
   }
 }
 
-// The event takes effect before the tokens of the time that led up to it, which would send or reject the job.
+// The event must take effect before the tokens issued up to its time, which would send or reject the job.
 TEST(FinalAnswer, SendsNoAnswerToAClientThatDisconnectedWhileItsJobWasBuffered) {
-  Settings s = BasicSettings();
-  s.tenants = {{"only", 1.0, 5.0}};
-  Driver d(s);
-  d.List({Entry("a"), Entry("b")});
+  Settings settings = BasicSettings();
+  settings.tenants = {{"only", 1.0, 5.0}};
+  Driver driver(settings);
+  driver.List({Entry("a"), Entry("b")});
   int id = 0;
-  while (Count<Send>(d.Arrive(++id, "unsafe", 5 * kSecond, 1, "only")) > 0)
+  while (Count<Send>(driver.Arrive(++id, "unsafe", 5 * kSecond, 1, "only")) > 0)
     continue;
-  ASSERT_EQ(Count<Reject>(d.all), 0);  // the last one is held
-  d.now += kSecond;
+  ASSERT_EQ(Count<Reject>(driver.all), 0);  // the last job is buffered
+  driver.now += kSecond;
   ClientGone gone;
   gone.request = RequestId{static_cast<std::uint64_t>(id)};
-  const auto actions = d.Do(gone);
+  const auto actions = driver.Do(gone);
   EXPECT_EQ(Count<Reject>(actions) + Count<Send>(actions), 0);
 }
 
 TEST(FinalAnswer, RejectsAtOnceWithoutTimeWorkerOrKnownClass) {
   for (const char* job_class : kClasses) {
-    Driver d(BasicSettings());
-    EXPECT_EQ(Count<Reject>(d.Arrive(1, job_class)), 1) << job_class;
-    d.List({Entry("a")});
-    EXPECT_EQ(Count<Reject>(d.Arrive(2, job_class, 0)), 1) << job_class;
-    EXPECT_EQ(Count<Reject>(d.Arrive(3, "unheard-of")), 1);
+    Driver driver(BasicSettings());
+    EXPECT_EQ(Count<Reject>(driver.Arrive(1, job_class)), 1) << job_class;
+    driver.List({Entry("a")});
+    EXPECT_EQ(Count<Reject>(driver.Arrive(2, job_class, 0)), 1) << job_class;
+    EXPECT_EQ(Count<Reject>(driver.Arrive(3, "unheard-of")), 1);
   }
 }
 
 TEST(FinalAnswer, AppliesNoDeadlineOnceAStreamHasStarted) {
-  Settings s = BasicSettings();
-  for (ClassSettings& c : s.classes)
-    c.streaming = true;
-  Driver d(s);
-  d.List({Entry("a")});
-  d.Arrive(1, "unsafe", kSecond);
-  d.Do(StreamStarted{RequestId{1}, 0});
-  EXPECT_EQ(FinalAnswers(d.Advance(d.now + 10 * kSecond)), 0);
+  Settings settings = BasicSettings();
+  for (ClassSettings& job_class : settings.classes)
+    job_class.streaming = true;
+  Driver driver(settings);
+  driver.List({Entry("a")});
+  driver.Arrive(1, "unsafe", kSecond);
+  driver.Do(StreamStarted{RequestId{1}, 0});
+  EXPECT_EQ(FinalAnswers(driver.Advance(driver.now + 10 * kSecond)), 0);
 }
 
 TEST(FinalAnswer, IgnoresAnArrivalWithAKnownId) {
-  Driver d(BasicSettings());
-  d.List({Entry("a")});
-  d.Arrive(1, "unsafe");
-  EXPECT_TRUE(d.Arrive(1, "unsafe").empty());
+  Driver driver(BasicSettings());
+  driver.List({Entry("a")});
+  driver.Arrive(1, "unsafe");
+  EXPECT_TRUE(driver.Arrive(1, "unsafe").empty());
 }
 
 }  // namespace
