--- a/tests/fleet/cluster_membership.cpp
+++ b/tests/fleet/cluster_membership.cpp
@@ -16,7 +16,7 @@
 std::filesystem::path MakeTemporaryFolder() {
   std::string pattern = (std::filesystem::temp_directory_path() / "aldersill-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr)
-    throw std::runtime_error("mkdtemp");
+    throw std::runtime_error("cannot create a temporary folder for the cluster's keys and control sockets");
   return pattern;
 }
 
@@ -96,7 +96,7 @@
   }
 }
 
-// At most one request of each kind is open.
+// Sends a request of each kind unless the previous one of that kind is still open.
 void ClusterMembership::PollDispatcher(int dispatcher) {
   Report& report = reports_[dispatcher];
   if (report.duties_request == nullptr)
--- a/tests/fleet/cluster_membership.h
+++ b/tests/fleet/cluster_membership.h
@@ -1,5 +1,5 @@
-// The cluster of a run whose dispatchers know one another: their membership settings, the datagram links
-// between them, and what they report over their control sockets about members and duties.
+// The cluster of a run whose dispatchers are its members: their membership settings, the datagram links
+// between them, and their reports about members and duties from the control sockets.
 #ifndef ALDERSILL_TESTS_FLEET_CLUSTER_MEMBERSHIP_H_
 #define ALDERSILL_TESTS_FLEET_CLUSTER_MEMBERSHIP_H_
 
@@ -21,31 +21,31 @@
 
 class ClusterMembership {
  public:
-  // `is_running`: whether a dispatcher has a process now. Polls the dispatchers from now on. Throws
-  // std::runtime_error if it cannot make its folder or sockets.
+  // Polls the dispatchers from now on. `is_running` returns whether a dispatcher has a process. Throws
+  // std::runtime_error if the temporary folder or a socket cannot be created.
   ClusterMembership(const RunContext& context, std::function<bool(int dispatcher)> is_running);
   ~ClusterMembership();
 
-  // The operator's settings of a dispatcher.
+  // Returns the operator's settings of a dispatcher: its control socket, membership and duties.
   nlohmann::json OperatorSettings(int dispatcher) const;
   // Call before and after a new process of a dispatcher starts.
   void ProcessStarting(int dispatcher);
   void ProcessStarted(int dispatcher, std::uint16_t membership_port);
 
   DatagramLinks& links() { return links_; }
-  // A dispatcher that reported last that it holds the lease.
+  // Returns the first dispatcher whose last report says that it holds the lease.
   std::optional<int> LeaseHolder() const;
-  // By the last reports: all dispatchers know one another, one holds the lease, and each worker is health
-  // checked by one dispatcher.
+  // Returns whether, by the last reports, every dispatcher sees all others as alive, one holds the lease, and
+  // each worker is health checked by one dispatcher.
   bool HasConverged() const;
 
  private:
   struct Report {
-    std::unique_ptr<ControlRequest> duties_request, members_request;  // not answered yet
+    std::unique_ptr<ControlRequest> duties_request, members_request;  // null unless waiting for an answer
     bool knows_all = false;
     bool holds_lease = false;
-    int owned_workers = 0;   // that this dispatcher health checks
-    int shared_workers = 0;  // that all dispatchers together health check
+    int owned_workers = 0;   // number of workers that this dispatcher health checks
+    int shared_workers = 0;  // number of workers that all dispatchers together health check
   };
   void PollAll();
   void PollDispatcher(int dispatcher);
@@ -58,7 +58,7 @@
 
   RunContext context_;
   std::function<bool(int)> is_running_;
-  std::filesystem::path folder_;  // of the key file and the control sockets
+  std::filesystem::path folder_;  // contains the key file and the control sockets
   DatagramLinks links_;
   std::vector<Report> reports_;
   Timer poll_;
--- a/tests/fleet/control_request.cpp
+++ b/tests/fleet/control_request.cpp
@@ -18,13 +18,14 @@
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
   if (socket.size() >= sizeof(to.sun_path))
-    throw std::runtime_error(socket + " is longer than a socket's path can be");
+    throw std::runtime_error("control socket path " + socket + " is longer than " +
+                             std::to_string(sizeof(to.sun_path) - 1) + " bytes");
   std::memcpy(to.sun_path, socket.c_str(), socket.size() + 1);
   if (bufferevent_socket_connect(stream_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof(to)) != 0) {
     connect_failed_.Set(0);
     return;
   }
-  // The callbacks are set only now, as a failed connect would call them from within the call above.
+  // The callbacks are set only now, because a failed connect would have called them synchronously.
   bufferevent_setcb(stream_.get(), &ControlRequest::OnRead, nullptr, &ControlRequest::OnEvent, this);
   const std::string line = command + "\n";
   bufferevent_write(stream_.get(), line.data(), line.size());
--- a/tests/fleet/control_request.h
+++ b/tests/fleet/control_request.h
@@ -1,5 +1,5 @@
-// One command to a dispatcher's control socket, asynchronous on the rig's event loop, so that a dispatcher
-// that is stopped does not block the rig.
+// Sends one command to a dispatcher's control socket. It works asynchronously on the rig's event loop, so
+// that a paused dispatcher does not block the rig.
 #ifndef ALDERSILL_TESTS_FLEET_CONTROL_REQUEST_H_
 #define ALDERSILL_TESTS_FLEET_CONTROL_REQUEST_H_
 
@@ -13,8 +13,9 @@
 
 class ControlRequest {
  public:
-  // `done` is called once: with the line of the answer, or with an empty string if the connection failed or
-  // ended without one. It may destroy the request. Throws std::runtime_error if `socket` is too long a path.
+  // `done` is called once, with the first line of the answer, or with an empty string if the connection
+  // failed or ended before that. It may destroy the request. The constructor throws std::runtime_error if
+  // `socket` is too long a path.
   using Callback = std::function<void(const std::string& answer)>;
   ControlRequest(event_base* base, const std::string& socket, const std::string& command, Callback done);
 
--- a/tests/fleet/datagram_links.cpp
+++ b/tests/fleet/datagram_links.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t kRandomStream = 4;
 constexpr std::size_t kMaxDatagram = 65'536;
-constexpr std::uint32_t kRandomDatagramSize = 1'500;  // exclusive
+constexpr std::uint32_t kRandomDatagramSize = 1'500;  // exclusive upper bound, in bytes
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     endpoint.fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const sockaddr_in any = ToSockaddr({"127.0.0.1", 0});
     if (endpoint.fd < 0 || bind(endpoint.fd, reinterpret_cast<const sockaddr*>(&any), sizeof(any)) != 0)
-      throw std::runtime_error("a datagram link cannot bind its socket");
+      throw std::runtime_error("cannot bind the datagram socket of dispatcher " + std::to_string(dispatcher));
     endpoint.port = static_cast<std::uint16_t>(LocalPort(endpoint.fd));
     endpoint.readable.reset(
         event_new(base, endpoint.fd, EV_READ | EV_PERSIST, &DatagramLinks::OnReadable, &endpoint));
@@ -57,7 +57,7 @@
   const auto from = std::ranges::find(links->endpoints_, ntohs(sender.sin_port),
                                       [](const auto& candidate) { return candidate->process_port; });
   if (from == links->endpoints_.end())
-    return;  // the sender has been killed since
+    return;  // The sender has been killed in the meantime.
   links->Forward({(*from)->dispatcher, endpoint->dispatcher, std::move(bytes)});
 }
 
--- a/tests/fleet/deployment.cpp
+++ b/tests/fleet/deployment.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t kLongSlowStart = 120'000'000, kLongSlowStartWindow = 2'000'000;
 constexpr double kSmallSlowStartShare = 0.06, kFewSlots = 4.0;
 constexpr int kFewSockets = 128;
-constexpr double kQuotaPerSecond = 1000.0;  // of each tenant, so that quotas reject nothing
+constexpr double kQuotaPerSecond = 1000.0;  // quota of each tenant, high enough to reject no request
 
 Json ReadJson(const std::string& path) {
   std::ifstream file(path);
--- a/tests/fleet/deployment.h
+++ b/tests/fleet/deployment.h
@@ -14,24 +14,24 @@
 
 struct JobClass {
   std::string name;
-  int min_ms = 0, max_ms = 0;        // of a job's run
+  int min_ms = 0, max_ms = 0;        // range of a job's run time
   bool has_idempotency_key = false;  // requests carry an Idempotency-Key
 };
 
 struct Deployment {
-  nlohmann::json config;  // a dispatcher's, without its name, list and discovery
+  nlohmann::json config;  // a dispatcher's configuration without its name, list and discovery
   std::vector<JobClass> classes;
   std::vector<std::string> tenants;
-  bool lists_pushed = false;                  // lists come from an agent that answers at once
-  bool load_from_health_checks_only = false;  // else answers to jobs carry load reports as well
-  bool workers_report_progress = false;       // their answers tell the start and the progress of a job
+  bool lists_pushed = false;                  // an agent receives the lists and answers calls at once
+  bool load_from_health_checks_only = false;  // answers to jobs carry no load report
+  bool workers_report_progress = false;       // answers report the start and the progress of a job
   bool clients_report_cost = false;           // requests carry cost and memory
-  double worker_slots = 16.0;                 // by the workers' load reports
+  double worker_slots = 16.0;                 // slots of each worker in its load reports
   Rules rules;
 };
 
-// `name`: "first" or "consortium". `variant`: changes settings. Throws std::runtime_error for another name or
-// if a file cannot be read.
+// Reads the deployment `name`, "first" or "consortium", with the settings changed by `variant`. Throws
+// std::runtime_error for another name or if a file cannot be read.
 Deployment ReadDeployment(const std::string& name, SettingsVariant variant);
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/discovery.cpp
+++ b/tests/fleet/discovery.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t kMaxWatchMs = 60'000;
 
-// A number of the request's query, or `fallback` if there is none of that name.
+// Returns the number in the query parameter `name`, or `fallback` if the request has no such parameter.
 std::uint64_t QueryNumber(evhttp_request* request, const char* name, std::uint64_t fallback) {
   const char* query = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(request));
   evkeyvalq pairs{};
@@ -53,11 +53,11 @@
 void StandInDiscovery::Listen(std::uint16_t port) {
   socket_ = evhttp_bind_socket_with_handle(server_.get(), "127.0.0.1", port);
   if (socket_ == nullptr)
-    throw std::runtime_error("discovery cannot listen");
+    throw std::runtime_error("stand-in discovery cannot listen on 127.0.0.1:" + std::to_string(port));
   port_ = static_cast<std::uint16_t>(LocalPort(evhttp_bound_socket_get_fd(socket_)));
 }
 
-// Keeps the port bound, so that no other process gets it.
+// Keeps the port bound, so that no other process can take it.
 void StandInDiscovery::StopListening() {
   evhttp_del_accept_socket(server_.get(), socket_);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -65,7 +65,7 @@
   const sockaddr_in here = ToSockaddr({"127.0.0.1", port_});
   if (evutil_make_listen_socket_reuseable(fd) != 0 ||
       bind(fd, reinterpret_cast<const sockaddr*>(&here), sizeof(here)) != 0)
-    throw std::runtime_error("discovery cannot keep its port");
+    throw std::runtime_error("stand-in discovery cannot reserve 127.0.0.1:" + std::to_string(port_));
 }
 
 void StandInDiscovery::OnCall(evhttp_request* request, void* arg) {
@@ -77,7 +77,7 @@
   }
 }
 
-// In kRefused a call can only arrive on a connection that was idle when the failure began.
+// In the mode kRefused a call can only arrive on a connection that was idle when the failure began.
 bool StandInDiscovery::AnswersWithError() const {
   return (down_ && !pushed_) || failure_mode_ == FailureMode::kErrors ||
          failure_mode_ == FailureMode::kRefused;
@@ -111,7 +111,7 @@
   calls_.remove_if([call](const Call& other) { return &other == call; });
 }
 
-// A full list leaves deleted workers out; a list of changes names them.
+// Returns the entries for the answer. A full list omits deleted workers; a list of changes contains them.
 nlohmann::json StandInDiscovery::ServersFor(const Call& call) const {
   nlohmann::json servers = nlohmann::json::array();
   for (std::size_t worker = 0; worker < list_.size(); ++worker) {
@@ -171,14 +171,14 @@
 }
 
 void StandInDiscovery::SetFailureMode(FailureMode mode) {
-  const FailureMode before = std::exchange(failure_mode_, mode);
+  const FailureMode previous = std::exchange(failure_mode_, mode);
   if (mode != FailureMode::kNone)
     ResetCalls();
-  if (mode == before || closed_)
+  if (mode == previous || closed_)
     return;
   if (mode == FailureMode::kRefused)
     StopListening();
-  if (before == FailureMode::kRefused) {
+  if (previous == FailureMode::kRefused) {
     Listen(port_);
     reserved_port_.reset();
   }
--- a/tests/fleet/discovery.h
+++ b/tests/fleet/discovery.h
@@ -1,8 +1,8 @@
-// Discovery as one dispatcher sees it, on the rig's event loop. It is either polled, with watches and
-// versions, or an agent to which lists are pushed and which answers at once. Each dispatcher has a discovery
-// of its own, as each reaches the workers at addresses of its own.
+// A stand-in for the discovery service of one dispatcher, on the rig's event loop. It is either polled, with
+// watches and versions, or an agent that receives pushed lists and answers every call at once. Each
+// dispatcher has its own, because each reaches the workers through its own links.
 //
-// tools/stand_ins.h has a smaller one, blocking and on threads, for tests without injected faults.
+// tools/stand_ins.h has a smaller stand-in with blocking threads, for tests without injected faults.
 #ifndef ALDERSILL_TESTS_FLEET_DISCOVERY_H_
 #define ALDERSILL_TESTS_FLEET_DISCOVERY_H_
 
@@ -19,8 +19,9 @@
 
 namespace aldersill::fleet {
 
-// For the close callbacks of evhttp connections: evhttp leaves a request that had no answer yet to whoever
-// was to answer it. Frees it in that case; `request` may be null.
+// Frees an unanswered request whose connection has ended, since evhttp leaves that to the request's handler.
+// Does nothing if the connection still owns the request or if `request` is null. Call it in the close
+// callback of an evhttp connection.
 void FreeUnownedRequest(evhttp_request* request);
 
 // The states of a worker in discovery's list.
@@ -30,30 +31,32 @@
 
 class StandInDiscovery {
  public:
-  // Called when a worker's state is written to the dispatcher, or, for an agent, when the agent has received
-  // it.
+  // Called when a worker's state is written to the dispatcher or, for an agent, when the agent receives it.
   using AnnouncedCallback = std::function<void(int worker, bool serving)>;
-  // `list`: entries in discovery's form, in the order of the workers. `version`: of the list. Throws
+  // `pushed`: whether this is an agent. `list`: one entry for each worker, in the order of the workers'
+  // numbers and in the format of discovery's answers. `version`: the version of that list. Throws
   // std::runtime_error if it cannot listen.
   StandInDiscovery(event_base* base, bool pushed, nlohmann::json list, std::uint64_t version,
                    AnnouncedCallback announced);
   ~StandInDiscovery();
   std::uint16_t port() const { return port_; }
 
-  // `state`: kServing, kDraining or kDeleted. `started_ms`: in Unix time, 0 to leave it as it is.
+  // Changes the entry of a worker and answers the open watches. `state`: kServing, kDraining or kDeleted.
+  // `started_ms`: the worker's new start time as Unix time in milliseconds; 0 keeps the current one.
   void ChangeWorker(int worker, const std::string& state, std::int64_t started_ms);
-  // While it is down a polled discovery resets its watches and answers calls 503; an agent leaves calls
-  // without an answer. ChangeWorker must not be called meanwhile.
+  // When a polled discovery goes down, it resets its open calls, and it answers calls with 503 until it is up
+  // again. An agent that is down leaves calls unanswered. ChangeWorker must not be called while it is down.
   void SetDown(bool down);
-  // The address accepts no new connection any more; its open calls go on. For good.
+  // Stops accepting connections for the rest of the run. Open calls stay open.
   void Close();
-  // Resets the open calls of a closed address.
+  // Resets the connections of all open calls.
   void ResetOpenCalls() { ResetCalls(); }
   enum class FailureMode { kNone, kErrors, kLosses, kRefused };
-  // Resets the open calls. From then on calls are answered 503, never answered, or refused as nobody listens.
-  // The list still receives changes. Throws std::runtime_error if it cannot listen again.
+  // Resets the open calls unless `mode` is kNone. Later calls are answered with 503 (kErrors), never answered
+  // (kLosses), or refused because the port is closed (kRefused). The list still receives changes. Throws
+  // std::runtime_error if the port cannot be closed or opened again.
   void SetFailureMode(FailureMode mode);
-  // The open calls, or the next one if none is open, are never answered.
+  // Never answers the calls that are open now or, if there are none, the next call.
   void IgnorePendingCalls();
   const nlohmann::json& list() const { return list_; }
 
@@ -61,9 +64,9 @@
   struct Call {
     StandInDiscovery* discovery = nullptr;
     evhttp_request* request = nullptr;
-    std::uint64_t since = 0;  // the version that the dispatcher has
-    bool full_list = false;   // else the changes since that version
-    bool ignored = false;     // never answered
+    std::uint64_t since = 0;  // the version of the dispatcher's list
+    bool full_list = false;   // the call asks for the full list instead of the changes since `since`
+    bool ignored = false;     // the call is never answered
     std::unique_ptr<Timer> watch_timeout;
   };
   static void OnCall(evhttp_request* request, void* self);
@@ -81,16 +84,17 @@
   event_base* base_;
   const bool pushed_;
   nlohmann::json list_;
-  std::vector<std::uint64_t> entry_versions_;  // of each entry's last change
+  std::vector<std::uint64_t> entry_versions_;  // the version in which each entry changed last
   std::uint64_t version_;
   AnnouncedCallback announced_;
   bool down_ = false, ignore_next_ = false, closed_ = false;
   FailureMode failure_mode_ = FailureMode::kNone;
   evhttp_bound_socket* socket_ = nullptr;
-  EventPtr<bufferevent> reserved_port_;  // bound, while nobody listens
+  EventPtr<bufferevent>
+      reserved_port_;  // a bound socket that keeps the port while the server does not listen
   std::uint16_t port_ = 0;
   std::list<Call> calls_;
-  EventPtr<evhttp> server_;  // declared last: its end calls OnConnectionEnd
+  EventPtr<evhttp> server_;  // declared last, because its destruction calls OnConnectionEnd
 };
 
 }  // namespace aldersill::fleet
--- a/tests/fleet/dispatchers.cpp
+++ b/tests/fleet/dispatchers.cpp
@@ -36,13 +36,13 @@
   process.config["discovery"] = LocalAddress(discovery_->port(dispatcher));
   const int fleet_size = context_.table.configured_fleet_size;
   process.config["settings"]["peersTotal"] = fleet_size > 0 ? fleet_size : context_.table.dispatchers;
-  // The list of the start of the run: a machine's cached list may be old. After a move discovery has other
-  // versions.
+  // The cached list of a machine may be old, so the dispatcher gets the list from the start of the run. It
+  // gets none after discovery has moved, because the versions differ at the new address.
   if (!discovery_->HasMoved(dispatcher))
     process.config["known"] = {
         {"version", 1}, {"full", true}, {"servers", discovery_->InitialList(dispatcher)}};
   process.operator_settings = cluster_ != nullptr ? cluster_->OperatorSettings(dispatcher) : nlohmann::json{};
-  // The pipe of its log is not read while the rig runs, so that it must stay short.
+  // The rig does not read the log's pipe during the run, so the log must fit into the pipe.
   process.operator_settings["logging"] = {{"lines_per_second", 1}};
 }
 
@@ -52,11 +52,11 @@
     cluster_->ProcessStarting(dispatcher);
   Process& process = processes_[dispatcher];
   process.restarted_at = std::exchange(process.started_before, true) ? SteadyNow() : 0;
-  process.readiness_asked = false;
+  process.readiness_request_open = false;
   process.daemon = std::make_unique<tests::DaemonUnderTest>(process.config, process.operator_settings,
                                                             "ALDERSILL_SETTINGS", " serving ", program_);
   if (!process.daemon->ports().contains("http"))
-    throw std::runtime_error("a dispatcher did not start");
+    throw std::runtime_error("dispatcher " + std::to_string(dispatcher) + " did not report an HTTP port");
   if (cluster_ != nullptr)
     cluster_->ProcessStarted(dispatcher, process.daemon->ports().at("membership"));
   process.state = ProcessState::kUp;
@@ -113,7 +113,7 @@
     Process& process = processes_[dispatcher];
     if (process.daemon == nullptr)
       continue;
-    AskReadiness(&process);
+    RequestReadiness(&process);
     const std::optional<int> status = process.daemon->ExitCodeIfEnded();
     if (!status)
       continue;
@@ -124,23 +124,23 @@
   }
 }
 
-// Asks a restarted dispatcher, one request at a time, until it answers that it is ready.
-void Dispatchers::AskReadiness(Process* process) {
-  if (process->restarted_at == 0 || process->readiness_asked)
+// Sends a readiness request to a restarted dispatcher that is not ready yet, unless one is open.
+void Dispatchers::RequestReadiness(Process* process) {
+  if (process->restarted_at == 0 || process->readiness_request_open)
     return;
-  process->readiness_asked = true;
+  process->readiness_request_open = true;
   process->readiness_connection.reset(
       evhttp_connection_base_new(context_.base, nullptr, "127.0.0.1", process->daemon->ports().at("http")));
   evhttp_connection_set_timeout(process->readiness_connection.get(), kReadinessTimeoutSeconds);
   evhttp_request* request = evhttp_request_new(&Dispatchers::OnReadiness, process);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "origin.svc");
   if (evhttp_make_request(process->readiness_connection.get(), request, EVHTTP_REQ_GET, "/-/ready") != 0)
-    process->readiness_asked = false;
+    process->readiness_request_open = false;
 }
 
 void Dispatchers::OnReadiness(evhttp_request* request, void* arg) {
   auto* process = static_cast<Process*>(arg);
-  process->readiness_asked = false;
+  process->readiness_request_open = false;
   if (request == nullptr || evhttp_request_get_response_code(request) != 200)
     return;
   const Micros startup_time = SteadyNow() - std::exchange(process->restarted_at, 0);
--- a/tests/fleet/dispatchers.h
+++ b/tests/fleet/dispatchers.h
@@ -21,31 +21,32 @@
 
 class Dispatchers {
  public:
-  // `program`: the path of the dispatcher's program. `cluster`: null if the dispatchers do not know one
-  // another.
+  // `cluster`: null if the dispatchers are not members of a cluster. `program`: the path of the dispatcher's
+  // program.
   Dispatchers(const RunContext& context, FleetDiscovery* discovery, ClusterMembership* cluster,
               std::string program);
 
-  // Throws std::runtime_error if the process does not start.
+  // Starts a process. Throws std::runtime_error if it does not start to serve.
   void Start(int dispatcher);
+  // Sends SIGKILL.
   void Kill(int dispatcher);
-  // From now on no request is sent to it, and its end with status 0 is expected; SIGTERM follows by
-  // SendTerminate.
+  // Marks the dispatcher as terminating, so that clients send no new requests to it and an exit with status 0
+  // is expected. The caller then sends SIGTERM with SendTerminate.
   void BeginTermination(int dispatcher);
   void SendTerminate(int dispatcher);
-  // Kills the process that got the last SIGTERM, unless it has ended.
+  // Kills and restarts the dispatcher if it is terminating and its process has not ended.
   void KillIfTerminating(int dispatcher);
   void Pause(int dispatcher);
   void Resume(int dispatcher);
-  // Lets it read a configuration with the present address of discovery.
+  // Writes a configuration with the current address of discovery and sends SIGHUP.
   void Reload(int dispatcher);
-  // The same where that address has not changed.
+  // Sends SIGHUP without a change of the configuration.
   void ReloadUnchanged(int dispatcher) { processes_[dispatcher].daemon->Signal(SIGHUP); }
 
   bool IsUp(int dispatcher) const { return processes_[dispatcher].state == ProcessState::kUp; }
-  // Up, and ready if it was restarted.
+  // Returns whether the dispatcher is up and, if it was restarted, has reported that it is ready.
   bool IsReady(int dispatcher) const { return IsUp(dispatcher) && processes_[dispatcher].restarted_at == 0; }
-  // How often its process was killed.
+  // The number of times that the dispatcher's processes were killed.
   int kills(int dispatcher) const { return processes_[dispatcher].kills; }
   bool IsRunning(int dispatcher) const { return processes_[dispatcher].daemon != nullptr; }
   std::uint16_t http_port(int dispatcher) const { return processes_[dispatcher].daemon->ports().at("http"); }
@@ -53,11 +54,11 @@
   // Restarts processes that have ended. Call it periodically.
   void Poll();
   bool AllUp() const;
-  // Whether each restarted dispatcher is ready, or has exceeded its time for that.
+  // Returns whether each restarted dispatcher is ready or has exceeded the time allowed for its start.
   bool AllRestartsFinished() const;
-  // Processes that ended without SIGTERM, or not with status 0.
+  // The number of processes that ended without SIGTERM or with a status other than 0.
   int unexpected_exits() const { return unexpected_exits_; }
-  // Records the dispatchers that are not ready yet. Call it once, at the end of the run.
+  // Records the restarted dispatchers that never became ready. Call it once, at the end of the run.
   void RecordUnfinishedRestarts();
   // Kills all processes.
   void StopAll();
@@ -70,13 +71,13 @@
     ProcessState state = ProcessState::kDown;
     bool started_before = false;
     int kills = 0;
-    Micros restarted_at = 0;  // by the steady clock; 0 once it is ready
+    Micros restarted_at = 0;  // by the steady clock; 0 if not restarted, or once ready
     EventPtr<evhttp_connection> readiness_connection;
-    bool readiness_asked = false;
+    bool readiness_request_open = false;  // a readiness request is waiting for its answer
   };
   static void OnReadiness(evhttp_request* request, void* process);
   void Configure(int dispatcher);
-  void AskReadiness(Process* process);
+  void RequestReadiness(Process* process);
 
   RunContext context_;
   FleetDiscovery* discovery_;
--- a/tests/fleet/fault_injector.cpp
+++ b/tests/fleet/fault_injector.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr int kResetIntervalMs = 20;
-// Requests that clients have begun to send must be on the wire before SIGTERM, however slow the machine is:
-// one that arrives later is not owed an answer.
-constexpr int kTurnsBeforeTerm = 10;
-// The longest deadline, which counts as 3 s at most, and 0.7 s after SIGTERM.
+// Iterations of the event loop before SIGTERM. They let clients write out the requests that they have begun
+// to send, even on a slow machine, because a dispatcher need not answer a request that arrives after SIGTERM.
+constexpr int kTurnsBeforeSigterm = 10;
+// The earliest time of SIGKILL after SIGTERM: the longest deadline, which counts as at most 3 s, plus 0.7 s.
 constexpr int kEarliestKillMs = 3'700;
 
 }  // namespace
 
 void FaultInjector::Inject(Fault fault) {
-  // A pause longer than a lease is meant for the lease holder.
+  // A pause that is longer than a lease stops the lease holder instead of the fault's dispatcher.
   if (fault.kind == FaultKind::kPause && fault.for_ms >= kLongerThanLease && targets_.cluster != nullptr)
     fault.dispatcher = targets_.cluster->LeaseHolder().value_or(fault.dispatcher);
   if (NeedsRunningProcess(fault.kind) && !targets_.dispatchers->IsUp(fault.dispatcher))
@@ -61,7 +61,7 @@
 
 void FaultInjector::Terminate(int dispatcher) {
   targets_.dispatchers->BeginTermination(dispatcher);
-  context_.scheduler.RunAfterTurns(kTurnsBeforeTerm, [dispatchers = targets_.dispatchers, dispatcher] {
+  context_.scheduler.RunAfterTurns(kTurnsBeforeSigterm, [dispatchers = targets_.dispatchers, dispatcher] {
     dispatchers->SendTerminate(dispatcher);
   });
 }
@@ -148,18 +148,18 @@
 }
 
 void FaultInjector::MoveDiscovery(const Fault& fault) {
-  StandInDiscovery* before = targets_.discovery->Move(fault.dispatcher);
+  StandInDiscovery* previous = targets_.discovery->Move(fault.dispatcher);
   targets_.dispatchers->Reload(fault.dispatcher);
-  before->Close();
-  context_.scheduler.RunIn(fault.for_ms, [before] {
-    before->SetDown(true);
-    before->ResetOpenCalls();
+  previous->Close();
+  context_.scheduler.RunIn(fault.for_ms, [previous] {
+    previous->SetDown(true);
+    previous->ResetOpenCalls();
   });
 }
 
 void FaultInjector::FailDiscoveryCalls(const Fault& fault, StandInDiscovery::FailureMode mode) {
   if (context_.deployment.lists_pushed)
-    return;  // calls to a local agent do not fail
+    return;  // Calls to a local agent do not fail.
   StandInDiscovery* failing = targets_.discovery->BeginFailure(fault.dispatcher, mode);
   context_.scheduler.RunIn(fault.for_ms, [discovery = targets_.discovery, fault, failing] {
     discovery->EndFailure(fault.dispatcher, failing);
--- a/tests/fleet/fault_injector.h
+++ b/tests/fleet/fault_injector.h
@@ -1,4 +1,4 @@
-// Carries out the faults of a timetable on the parts of a run, and undoes each after its time.
+// Injects the faults of a timetable into the parts of a run, and ends each after its duration.
 #ifndef ALDERSILL_TESTS_FLEET_FAULT_INJECTOR_H_
 #define ALDERSILL_TESTS_FLEET_FAULT_INJECTOR_H_
 
@@ -31,7 +31,8 @@
   };
   FaultInjector(const RunContext& context, const Targets& targets) : context_(context), targets_(targets) {}
 
-  // A fault of a process is left out while the process has another.
+  // Starts the fault now and schedules its end. Skips a fault that needs a running process while the
+  // dispatcher is killed, paused or terminating.
   void Inject(Fault fault);
   int injected() const { return injected_; }
 
@@ -56,7 +57,7 @@
   void FailDiscoveryCalls(const Fault& fault, StandInDiscovery::FailureMode mode);
   void SendRandomDatagrams(const Fault& fault);
 
-  // Calls `begin` on each link, or impairment, of the fault, and `end` after the fault's time.
+  // Calls `begin` on each link or impairment that the fault affects, and `end` after the fault's duration.
   void OnLinks(const Fault& fault, const LinkAction& begin, const LinkAction& end);
   void OnDatagrams(const Fault& fault, const ImpairmentAction& begin, const ImpairmentAction& end);
 
--- a/tests/fleet/fleet_discovery.cpp
+++ b/tests/fleet/fleet_discovery.cpp
@@ -8,7 +8,8 @@
 
 using Kind = Observation::Kind;
 
-constexpr std::uint64_t kVersionsPerMove = 1'000;  // so that versions differ after a move
+// The list versions of consecutive addresses start this far apart, so that they differ after a move.
+constexpr std::uint64_t kVersionsPerMove = 1'000;
 
 std::int64_t UnixMs() {
   using std::chrono::duration_cast, std::chrono::milliseconds, std::chrono::system_clock;
@@ -53,8 +54,8 @@
   }
   const bool serving = state == kServing;
   context_.recorder.Record({.kind = Kind::kWorkerChanged, .worker = worker, .available = serving});
-  for (auto& of_dispatcher : discoveries_) {
-    for (auto& discovery : of_dispatcher)
+  for (auto& discoveries : discoveries_) {
+    for (auto& discovery : discoveries)
       discovery->ChangeWorker(worker, state, serving ? UnixMs() : 0);
   }
 }
@@ -85,15 +86,15 @@
 }
 
 StandInDiscovery* FleetDiscovery::Move(int dispatcher) {
-  auto& of_dispatcher = discoveries_[dispatcher];
-  StandInDiscovery* before = Current(dispatcher);
-  of_dispatcher.push_back(Make(dispatcher, before->list(), kVersionsPerMove * of_dispatcher.size()));
+  auto& discoveries = discoveries_[dispatcher];
+  StandInDiscovery* previous = Current(dispatcher);
+  discoveries.push_back(Make(dispatcher, previous->list(), kVersionsPerMove * discoveries.size()));
   if (outages_ == 0) {
     RecordReachable(dispatcher, true);
   } else {
     Current(dispatcher)->SetDown(true);
   }
-  return before;
+  return previous;
 }
 
 StandInDiscovery* FleetDiscovery::BeginFailure(int dispatcher, StandInDiscovery::FailureMode mode) {
--- a/tests/fleet/idle_clients.cpp
+++ b/tests/fleet/idle_clients.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-// Also ends the client once its time is over.
+// Opens a new connection, or only closes the old one if the client's time is over.
 void IdleClients::Connect(Client* client) {
   client->stream.reset();
   if (SteadyNow() >= client->until)
--- a/tests/fleet/idle_clients.h
+++ b/tests/fleet/idle_clients.h
@@ -16,7 +16,8 @@
 class IdleClients {
  public:
   IdleClients(const RunContext& context, const Dispatchers* dispatchers);
-  // Adds `count` clients of the dispatcher for that long; every second one sends half of a request's head.
+  // Adds `count` clients of the dispatcher for `for_ms` milliseconds. Every second one sends half of a
+  // request head.
   void Add(int dispatcher, int count, int for_ms);
 
  private:
--- a/tests/fleet/job_request.cpp
+++ b/tests/fleet/job_request.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kClientTimeoutSeconds = 60;
-constexpr int kCostPerMeanMs = 500;  // of the sum of the shortest and the longest time
+constexpr int kHalfCostPerMs = 500;  // the cost is 1,000 per millisecond of the mean run time
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
@@ -21,7 +21,7 @@
     headers.emplace_back("Idempotency-Key", job.id);
   if (!deployment.clients_report_cost)
     return headers;
-  const int cost = (job.job_class.min_ms + job.job_class.max_ms) * kCostPerMeanMs;
+  const int cost = (job.job_class.min_ms + job.job_class.max_ms) * kHalfCostPerMs;
   headers.emplace_back("Req-Cost", std::to_string(cost));
   headers.emplace_back("Req-Extra", "slots=1,memory=0.6");
   return headers;
--- a/tests/fleet/job_request.h
+++ b/tests/fleet/job_request.h
@@ -1,4 +1,4 @@
-// What service clients of all kinds send and read.
+// The requests of service clients of all kinds, and functions that send them and read the responses.
 #ifndef ALDERSILL_TESTS_FLEET_JOB_REQUEST_H_
 #define ALDERSILL_TESTS_FLEET_JOB_REQUEST_H_
 
@@ -20,16 +20,16 @@
   int deadline_ms = 0;
 };
 
-// How long clients wait for an answer, in milliseconds.
+// The range of the deadlines that clients choose for their requests, in milliseconds.
 inline constexpr int kMinDeadlineMs = 400, kMaxDeadlineMs = 3'000;
-// An answer may come this long after the deadline.
+// An answer counts as on time up to this long after the deadline.
 inline constexpr Micros kAnswerSlack = 58 * kMillisecond;
 
-// A connection to a dispatcher on this machine, that is not retried.
+// Returns a connection to a dispatcher on 127.0.0.1. It does not retry a failed connect.
 EventPtr<evhttp_connection> NewClientConnection(event_base* base, std::uint16_t port);
-// The body of a response.
+// Returns the body of a response.
 std::string BodyOf(evhttp_request* response);
-// The complete request, without a body, for clients that send it in pieces.
+// Returns the complete text of a request without a body, for clients that send it in pieces.
 std::string JobRequestText(const Deployment& deployment, const JobRequest& job);
 void AddJobHeaders(evhttp_request* request, const Deployment& deployment, const JobRequest& job);
 
--- a/tests/fleet/keep_alive_clients.cpp
+++ b/tests/fleet/keep_alive_clients.cpp
@@ -11,12 +11,12 @@
 using Kind = Observation::Kind;
 
 constexpr std::uint64_t kRandomStream = 3;
-// One request in so many outlives a shutdown.
-constexpr std::uint32_t kOneIsLongOf = 6;
+// On average, one request in this many has a deadline that outlasts a shutdown.
+constexpr std::uint32_t kRequestsPerLongDeadline = 6;
 constexpr int kLongDeadlineMs = 8'000;
 constexpr int kMaxPauseMs = 150;
 constexpr int kConnectRetryMs = 50;
-constexpr int kNone = -1;
+constexpr int kNoDispatcher = -1;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 void KeepAliveClients::SendNext(Client* client) {
   if (SteadyNow() >= ends_at_)
     return;
-  if (!client->connection_open && !Connect(client, kNone))
+  if (!client->connection_open && !Connect(client, kNoDispatcher))
     return client->pause->Set(kConnectRetryMs * kMillisecond);
   DrawRequest(client);
   ++waiting_;
@@ -50,7 +50,7 @@
   client->job_class = &classes[random_(static_cast<std::uint32_t>(classes.size()))];
   client->tenant = tenants[random_(static_cast<std::uint32_t>(tenants.size()))];
   const int deadline_ms = kMinDeadlineMs + static_cast<int>(random_(kMaxDeadlineMs - kMinDeadlineMs));
-  client->deadline_ms = random_(kOneIsLongOf) == 0 ? kLongDeadlineMs : deadline_ms;
+  client->deadline_ms = random_(kRequestsPerLongDeadline) == 0 ? kLongDeadlineMs : deadline_ms;
   client->id = client->job_class->name + "-k" + std::to_string(client->number) + "-" +
                std::to_string(++client->requests);
   client->sent_again = false;
@@ -65,7 +65,7 @@
   if (ready.empty())
     return false;
   client->dispatcher = ready[random_(static_cast<std::uint32_t>(ready.size()))];
-  // The previous connection may be in its callback still, and must outlive it.
+  // The callback of the previous connection may still be running, so the connection must outlive it.
   client->previous_connection = std::move(client->connection);
   if (client->previous_connection != nullptr)
     evhttp_connection_set_closecb(client->previous_connection.get(), nullptr, nullptr);
@@ -115,8 +115,9 @@
   Finish(client);
 }
 
-// A close that crosses a request on a connection that has been in use: the request is sent once more, to
-// another dispatcher, so that one that was forwarded before the close is found.
+// A dispatcher may close a reused connection while a request is on its way. The client then sends the request
+// once more, to another dispatcher. So the checker detects a request that the first one forwarded before the
+// close.
 void KeepAliveClients::ClosedUnanswered(Client* client) {
   const bool crossed = client->requests_on_connection > 0 && !std::exchange(client->sent_again, true);
   const bool killed = dispatchers_->kills(client->dispatcher) != client->kills_before;
--- a/tests/fleet/keep_alive_clients.h
+++ b/tests/fleet/keep_alive_clients.h
@@ -1,5 +1,5 @@
-// Service clients that send one request after another on one connection for as long as it stays open, also
-// while its dispatcher shuts down, on the rig's event loop.
+// Service clients on the rig's event loop that send one request after another on a connection until it is
+// closed, also while its dispatcher shuts down.
 #ifndef ALDERSILL_TESTS_FLEET_KEEP_ALIVE_CLIENTS_H_
 #define ALDERSILL_TESTS_FLEET_KEEP_ALIVE_CLIENTS_H_
 
@@ -18,10 +18,10 @@
 class KeepAliveClients {
  public:
   KeepAliveClients(const RunContext& context, const Dispatchers* dispatchers);
-  // As many as the timetable has, until its end.
+  // Starts as many clients as the timetable specifies. They send requests until the timetable's end.
   void Begin();
   int waiting() const { return waiting_; }
-  // By the steady clock: when a client got its answer, last.
+  // The last time, by the steady clock, at which a request was answered or lost its connection.
   Micros last_end() const { return last_end_; }
 
  private:
@@ -29,10 +29,10 @@
     KeepAliveClients* owner = nullptr;
     int number = 0;
     int dispatcher = -1;
-    int kills_before = 0;            // of its dispatcher, at the connect
-    int requests = 0;                // so far, which number them
-    int requests_on_connection = 0;  // answered
-    bool sent_again = false;         // this request, on a new connection
+    int kills_before = 0;            // kills of its dispatcher before it connected
+    int requests = 0;                // number of requests so far; the number of the current one
+    int requests_on_connection = 0;  // number of answers on this connection
+    bool sent_again = false;         // the current request was sent again on a new connection
     bool connection_open = false;
     std::string id;
     const JobClass* job_class = nullptr;
@@ -45,7 +45,7 @@
   static void OnClosed(evhttp_connection* connection, void* client);
   void SendNext(Client* client);
   void DrawRequest(Client* client);
-  // To a dispatcher other than `avoided`, if one takes clients.
+  // Connects to a ready dispatcher other than `avoided`. Returns false if there is none.
   bool Connect(Client* client, int avoided);
   void Send(Client* client);
   void Answered(Client* client, evhttp_request* request, int status);
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -17,7 +17,7 @@
 
 sockaddr_in Loopback(std::uint16_t port) { return ToSockaddr({"127.0.0.1", port}); }
 
-// Whether the peer has closed its side, even if bytes that it sent before have not been read yet.
+// Returns whether the peer has closed its side, even if bytes that it sent before have not been read yet.
 bool PeerHasClosed(int fd) {
   tcp_info info{};
   socklen_t size = sizeof(info);
@@ -37,7 +37,8 @@
                                           LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, -1,
                                           reinterpret_cast<const sockaddr*>(&any), sizeof(any)));
   if (listener_ == nullptr)
-    throw std::runtime_error("a relay cannot listen");
+    throw std::runtime_error("the relay to the worker on port " + std::to_string(worker_port) +
+                             " cannot listen on 127.0.0.1");
   port_ = static_cast<std::uint16_t>(LocalPort(evconnlistener_get_fd(listener_.get())));
   sweep_ = std::make_unique<Timer>(
       base, [this] { std::erase_if(flows_, [](const Flow& flow) { return flow.closed; }); });
@@ -77,7 +78,7 @@
   pipe->flow->relay->ReadInput(pipe);
 }
 
-// Moves the bytes that have arrived to the queue that delays them and limits their rate.
+// Moves the received bytes to the queue that delays them and limits their rate.
 void Relay::ReadInput(Pipe* pipe) {
   if (pipe->flow->closed || IsCut(*pipe))
     return;
@@ -103,7 +104,7 @@
         {due + static_cast<Micros>(step) * kMillisecond, bytes.substr(at, bytes_per_milli_)});
 }
 
-// Writes the bytes that are due; closes the flow once all has been written and nothing more arrives.
+// Writes the chunks that are due. Closes the flow once the input has ended and all bytes have been written.
 void Relay::Forward(Pipe* pipe) {
   if (pipe->flow->closed || IsCut(*pipe))
     return;
@@ -119,7 +120,7 @@
 }
 
 void Relay::OnWritten(bufferevent* to, void* arg) {
-  // `arg` is the pipe that reads from this bufferevent; the one that has been written out is the other.
+  // `arg` is the pipe that reads from this bufferevent. The pipe that writes to it is the other one.
   Flow* flow = static_cast<Pipe*>(arg)->flow;
   const Pipe& written = flow->to_worker.to == to ? flow->to_worker : flow->from_worker;
   if (written.input_ended && written.delayed.empty())
@@ -153,7 +154,7 @@
   if (end == std::string::npos)
     return;
   flow->attempt.request = flow->head.substr(at + name.size(), end - at - name.size());
-  // Where the link was cut the head is read late: the dispatcher may have ended the attempt already.
+  // After a cut the relay reads the head late, and the dispatcher may have ended the attempt already.
   if (PeerHasClosed(bufferevent_getfd(flow->dispatcher.get())))
     return;
   flow->attempt.number = ++*attempt_counter_;
@@ -188,12 +189,12 @@
 }
 
 void Relay::Reset() {
-  const linger at_once{1, 0};
+  const linger reset_on_close{1, 0};
   for (Flow& flow : flows_) {
     if (flow.closed)
       continue;
     for (bufferevent* side : {flow.dispatcher.get(), flow.worker.get()})
-      setsockopt(bufferevent_getfd(side), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+      setsockopt(bufferevent_getfd(side), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
     Close(&flow);
   }
 }
@@ -231,7 +232,8 @@
   return &pipe == &pipe.flow->to_worker ? cut_to_worker_ : cut_from_worker_;
 }
 
-// A cut direction is not even read: the bytes, and the end of the stream, wait in the sender's kernel.
+// The relay does not read from a cut direction, so that the bytes and the end of the stream stay in the
+// kernel.
 void Relay::ApplyCuts() {
   for (Flow& flow : flows_) {
     flow.was_cut |= cut_to_worker_;
--- a/tests/fleet/service_clients.cpp
+++ b/tests/fleet/service_clients.cpp
@@ -13,10 +13,10 @@
 using Kind = Observation::Kind;
 
 constexpr std::uint64_t kRandomStream = 2;
-constexpr std::uint32_t kOneLeavesOf = 12;
+constexpr std::uint32_t kClientsPerDeparture = 12;  // on average, one client in this many leaves early
 constexpr std::size_t kFloodBytes = std::size_t{256} * 1024;
-constexpr int kIdleMs = 200;  // for which connections are idle before SIGTERM
-constexpr int kTurnsBeforeTerm = 10;
+constexpr int kIdleMs = 200;  // time that connections are idle before SIGTERM
+constexpr int kTurnsBeforeSigterm = 10;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   const JobClass& job_class = classes[random_(static_cast<std::uint32_t>(classes.size()))];
   const std::string& tenant = tenants[random_(static_cast<std::uint32_t>(tenants.size()))];
   const int deadline_ms = kMinDeadlineMs + static_cast<int>(random_(kMaxDeadlineMs - kMinDeadlineMs));
-  const bool leaves = random_(kOneLeavesOf) == 0;
+  const bool leaves = random_(kClientsPerDeparture) == 0;
   const int leaves_after_ms = static_cast<int>(random_(static_cast<std::uint32_t>(deadline_ms)));
   const std::uint32_t dispatcher_draw = random_();
   std::vector<int> up;
@@ -60,7 +60,7 @@
 
 void ServiceClients::Connect(Client* client, int dispatcher) {
   client->dispatcher = dispatcher;
-  // The previous connection may be in its callback still, and must outlive it.
+  // The callback of the previous connection may still be running, so the connection must outlive it.
   client->previous_connection = std::move(client->connection);
   client->connection = NewClientConnection(context_.base, dispatchers_->http_port(dispatcher));
 }
@@ -102,15 +102,15 @@
     clients.push_back(AddIdleConnection(index, dispatcher));
   context_.scheduler.RunIn(kIdleMs, [this, dispatcher, clients, for_ms] {
     if (!dispatchers_->IsUp(dispatcher))
-      return;  // another fault has come first
+      return;  // Another fault has killed, paused or terminated the dispatcher.
     dispatchers_->BeginTermination(dispatcher);
-    context_.scheduler.RunAfterTurns(kTurnsBeforeTerm, [this, dispatcher, clients, for_ms] {
+    context_.scheduler.RunAfterTurns(kTurnsBeforeSigterm, [this, dispatcher, clients, for_ms] {
       TerminateAmongRequests(dispatcher, clients, for_ms);
     });
   });
 }
 
-// A client whose connection has carried one answer, to a readiness request.
+// Adds a client whose connection has carried one answer, to a readiness request.
 ServiceClients::Client* ServiceClients::AddIdleConnection(int index, int dispatcher) {
   const auto& classes = context_.deployment.classes;
   const auto& tenants = context_.deployment.tenants;
@@ -124,7 +124,7 @@
   return client;
 }
 
-// SIGTERM comes after half of the requests that are sent at once; every fourth is sent later.
+// Sends SIGTERM halfway through the requests. Every fourth request is sent later.
 void ServiceClients::TerminateAmongRequests(int dispatcher, const std::vector<Client*>& clients, int for_ms) {
   const int count = static_cast<int>(clients.size());
   for (int index = 0; index < count; ++index) {
@@ -139,7 +139,8 @@
   }
 }
 
-// For a request that got no byte of an answer on a connection that had been idle.
+// Retries a request that received no byte of an answer on a reused connection. Returns false if it is not
+// retried, because the connection was new or no other dispatcher is up.
 bool ServiceClients::RetryElsewhere(Client* client) {
   if (!std::exchange(client->reuses_connection, false))
     return false;
@@ -197,13 +198,13 @@
   const int fd = bufferevent_getfd(evhttp_connection_get_bufferevent(client->connection.get()));
   if (departure.floods_before) {
     const std::string flood(kFloodBytes, 'x');
-    // As much as the kernel accepts at once.
+    // Sends as much as the kernel accepts without blocking.
     const auto sent = send(fd, flood.data(), flood.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     flooding_ += sent > 0 ? 1 : 0;
   }
-  const linger at_once{1, 0};
+  const linger reset_on_close{1, 0};
   if (departure.reset)
-    setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
   --waiting_;
   last_end_ = SteadyNow();
   context_.recorder.Record({.kind = Kind::kClientLeft, .request = client->id});
--- a/tests/fleet/service_clients.h
+++ b/tests/fleet/service_clients.h
@@ -14,28 +14,28 @@
 
 namespace aldersill::fleet {
 
-// How a client leaves.
+// How a client ends its connection before it has its answer.
 struct Departure {
-  bool reset = false;          // by a reset, else by a close
-  bool floods_before = false;  // sends many bytes that nobody asked for, first
+  bool reset = false;          // resets the connection instead of closing it
+  bool floods_before = false;  // sends many unexpected bytes first
 };
 
 class ServiceClients {
  public:
   ServiceClients(const RunContext& context, Dispatchers* dispatchers);
 
-  // Sends the request of that number, with a class, tenant, deadline and dispatcher drawn at random; none if
-  // no dispatcher is up.
+  // Sends the request with this number. Its class, tenant, deadline and dispatcher are drawn at random. Sends
+  // nothing if no dispatcher is up.
   void SendRequest(int number);
-  // Lets all clients leave that wait for the dispatcher.
+  // Disconnects all clients that wait for an answer of the dispatcher.
   void LeaveAll(int dispatcher, Departure departure);
-  // Opens `count` connections to the dispatcher and lets them become idle. Then sends SIGTERM, and in that
-  // moment and for `for_ms` a request on each. A request that gets no byte of an answer is retried at another
-  // dispatcher.
+  // Opens `count` connections to the dispatcher and lets them become idle. Then sends SIGTERM, and sends a
+  // request on each connection, most of them around SIGTERM and the others within `for_ms`. A request that
+  // receives no byte of an answer is retried at another dispatcher.
   void SendDuringShutdown(int dispatcher, int count, int for_ms);
 
   int waiting() const { return waiting_; }
-  // By the steady clock: when a client got its answer or left, last.
+  // The last time, by the steady clock, at which a client received its answer or left.
   Micros last_end() const { return last_end_; }
   int retried_elsewhere() const { return retried_elsewhere_; }
   int flooding() const { return flooding_; }
--- a/tests/fleet/slow_clients.cpp
+++ b/tests/fleet/slow_clients.cpp
@@ -15,9 +15,9 @@
 using Kind = Observation::Kind;
 
 constexpr std::uint64_t kRandomStream = 5;
-// Dispatchers allow 2.4 s for a request.
+// The client completes its request after a delay in this range. Dispatchers allow 2.4 s for a request.
 constexpr int kMinDelayMs = 100, kMaxDelayMs = 2'200;
-constexpr int kDeadlineMs = 8'000;  // beyond any SIGKILL
+constexpr int kDeadlineMs = 8'000;  // later than any SIGKILL that follows SIGTERM
 constexpr int kRequestTimeout = 408;
 
 struct Response {
@@ -33,7 +33,7 @@
   return number;
 }
 
-// Nothing until the response is complete.
+// Returns nullopt until the response is complete.
 std::optional<Response> ParseResponse(std::string_view text) {
   constexpr std::string_view kHeadEnd = "\r\n\r\n";
   const std::size_t head_end = text.find(kHeadEnd);
@@ -119,7 +119,7 @@
   if (!response || client->finished)
     return;
   if (client->complete && response->status == kRequestTimeout) {
-    // Crossed by the rest of the request, which then must not be forwarded.
+    // The dispatcher timed the request out while its rest was on the way. It must not forward the request.
     context_.recorder.Record(
         {.kind = Kind::kClosedUnanswered, .request = client->id, .dispatcher = client->dispatcher});
   } else if (client->complete) {
--- a/tests/fleet/slow_clients.h
+++ b/tests/fleet/slow_clients.h
@@ -1,5 +1,5 @@
 // Service clients that connect, send the beginning of a request, and complete it up to seconds later, on the
-// rig's event loop. So requests arrive late in a shutdown on connections that were open before it.
+// rig's event loop. During a shutdown their requests arrive late, on connections that were opened before it.
 #ifndef ALDERSILL_TESTS_FLEET_SLOW_CLIENTS_H_
 #define ALDERSILL_TESTS_FLEET_SLOW_CLIENTS_H_
 
@@ -17,10 +17,10 @@
 class SlowClients {
  public:
   SlowClients(const RunContext& context, const Dispatchers* dispatchers);
-  // `count` clients connect to the dispatcher within `for_ms`.
+  // Lets `count` clients connect to the dispatcher, spread evenly over `for_ms` milliseconds.
   void Add(int dispatcher, int count, int for_ms);
   int waiting() const { return waiting_; }
-  // By the steady clock: when a client got its answer or its connection ended, last.
+  // The last time, by the steady clock, at which a complete request was answered or lost its connection.
   Micros last_end() const { return last_end_; }
 
  private:
@@ -30,8 +30,8 @@
     const JobClass* job_class = nullptr;
     int dispatcher = -1;
     int deadline_ms = 0;
-    std::string rest;  // of the request, that is sent later
-    bool complete = false;
+    std::string rest;       // the part of the request that is sent later
+    bool complete = false;  // the whole request has been sent
     bool finished = false;
     EventPtr<bufferevent> stream;
   };
--- a/tests/fleet/worker_links.h
+++ b/tests/fleet/worker_links.h
@@ -18,11 +18,11 @@
  public:
   WorkerLinks(const RunContext& context, const WorkerStandIns& workers);
 
-  // Where `dispatcher` reaches `worker`.
+  // The port at which `dispatcher` reaches `worker`.
   std::uint16_t port(int dispatcher, int worker) const { return links_[dispatcher][worker]->port(); }
-  // Calls `action` for the link to `worker`, or for all links of the dispatcher where it is kAllWorkers.
+  // Calls `action` for the dispatcher's link to `worker`, or for all its links if `worker` is kAllWorkers.
   void ForEach(int dispatcher, int worker, const std::function<void(Relay*)>& action);
-  // Records the end of attempts whose connections the dispatchers have closed by now.
+  // Records the end of attempts whose connections the dispatchers have already closed.
   void DetectClosed();
   bool HasOpenAttempt() const;
 
@@ -31,7 +31,7 @@
   void RecordAttempt(int dispatcher, int worker, const Relay::Attempt& attempt);
 
   RunContext context_;
-  std::uint64_t attempts_ = 0;  // numbers the attempts of all links
+  std::uint64_t attempts_ = 0;  // number of attempts on all links so far
   std::vector<std::vector<std::unique_ptr<Relay>>> links_;
 };
 
--- a/tests/fleet/worker_stand_ins.cpp
+++ b/tests/fleet/worker_stand_ins.cpp
@@ -16,8 +16,9 @@
 using Kind = Observation::Kind;
 
 constexpr std::uint64_t kRandomStream = 3;
-constexpr std::uint32_t kOneFailsOf = 10;  // so that there are retries without any injected fault
-constexpr double kReportedServiceMs = 30.0;
+// On average, one job in this many fails, so that retries occur even without an injected fault.
+constexpr std::uint32_t kJobsPerFailure = 10;
+constexpr double kReportedServiceMs = 30.0;  // service time in every load report
 
 }  // namespace
 
@@ -34,7 +35,7 @@
   worker->server.reset(evhttp_new(context_.base));
   auto* socket = evhttp_bind_socket_with_handle(worker->server.get(), "127.0.0.1", 0);
   if (socket == nullptr)
-    throw std::runtime_error("a worker cannot listen");
+    throw std::runtime_error("worker " + std::to_string(number) + " cannot listen on 127.0.0.1");
   worker->port = static_cast<std::uint16_t>(LocalPort(evhttp_bound_socket_get_fd(socket)));
   evhttp_set_gencb(worker->server.get(), &WorkerStandIns::OnRequest, worker.get());
 }
@@ -67,7 +68,7 @@
   job->worker = worker;
   job->id = id;
   job->result = id + " at " + std::to_string(worker->number) + " run " + std::to_string(++runs_);
-  job->fails = random_(kOneFailsOf) == 0;
+  job->fails = random_(kJobsPerFailure) == 0;
   job->duration_ms = DrawDurationMs(job_class);
   job->request = request;
   // The connection may end before the job does.
@@ -89,7 +90,7 @@
 int WorkerStandIns::DrawDurationMs(const std::string& job_class) {
   const auto found = std::ranges::find(context_.deployment.classes, job_class, &JobClass::name);
   if (found == context_.deployment.classes.end())
-    throw std::runtime_error("a worker was sent class " + job_class);
+    throw std::runtime_error("a worker received a job of the unknown class " + job_class);
   return found->min_ms + static_cast<int>(random_(found->max_ms - found->min_ms));
 }
 
@@ -117,7 +118,7 @@
     evhttp_send_reply_end(request);
 }
 
-// One line of the job's answer, if its connection is still open.
+// Sends one line of the job's answer if the connection is still open.
 void WorkerStandIns::SendLine(Job* job, const nlohmann::json& message) {
   if (job->request == nullptr)
     return;
--- a/tests/fleet/worker_stand_ins.h
+++ b/tests/fleet/worker_stand_ins.h
@@ -1,5 +1,5 @@
-// The workers of a run, as HTTP servers on the rig's event loop: they run jobs for a random time, fail one in
-// ten, answer health checks, and can be made to hang.
+// The workers of a run, as HTTP servers on the rig's event loop. They run jobs for a random time, fail one
+// job in ten, answer health checks, and can be made to hang.
 #ifndef ALDERSILL_TESTS_FLEET_WORKER_STAND_INS_H_
 #define ALDERSILL_TESTS_FLEET_WORKER_STAND_INS_H_
 
@@ -59,7 +59,7 @@
   RunContext context_;
   pcg32 random_;
   int runs_ = 0;
-  std::list<Job> jobs_;  // declared before the servers, whose end closes the jobs' connections
+  std::list<Job> jobs_;  // declared before the servers, whose destruction closes the jobs' connections
   std::vector<std::unique_ptr<Worker>> workers_;
 };
 
