--- a/examples/toy_platform.cpp
+++ b/examples/toy_platform.cpp
@@ -1,5 +1,5 @@
-// toy_platform PORT: discovery at PORT, and two workers that take 300 ms for each job, until SIGINT or
-// SIGTERM.
+// toy_platform PORT: runs a discovery service on PORT and two workers that take 300 ms for each job, until
+// SIGINT or SIGTERM. With PORT 0 the kernel chooses the port; the first line of output names it.
 #include <chrono>
 #include <csignal>
 #include <cstdio>
@@ -12,7 +12,7 @@
 
 int main(int argc, char** argv) {
   using namespace aldersill::tools;
-  // Blocked in all threads, so that only sigwait below receives them.
+  // The signals are blocked in all threads, so that only the sigwait() below receives them.
   sigset_t stop_signals;
   sigemptyset(&stop_signals);
   sigaddset(&stop_signals, SIGINT);
--- a/examples/try.sh
+++ b/examples/try.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Plays one job through a daemon that it starts, on a bare Debian machine: installs missing packages, builds, starts the
-# toy platform and the daemon on free loopback ports, and ends both. With ALDERSILL_BUILD=DIR it uses the programs built
-# in DIR, and installs and builds nothing.
+# Runs one job through the daemon on a fresh Debian machine: installs missing packages, builds the programs, starts the
+# toy platform and the daemon on free loopback ports, sends the job, and stops both. With ALDERSILL_BUILD=DIR it uses
+# the programs built in DIR, and installs and builds nothing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,7 +12,7 @@
 
 build=${ALDERSILL_BUILD:-}
 if [[ -z $build ]]; then
-  # The same list as in the README.
+  # The README has the same list.
   missing=()
   for package in g++ cmake make pkg-config libevent-dev libhttp-parser-dev nlohmann-json3-dev libsnmp-dev \
     libwrap0-dev libyaml-cpp-dev libcli11-dev libspdlog-dev libsodium-dev libxxhash-dev libmsgpack-cxx-dev \
@@ -50,7 +50,8 @@
 trap stop EXIT
 trap 'exit 130' INT TERM
 
-# await PID FILE PATTERN: prints the first line of a program's output that matches; fails if the program ends before.
+# await PID FILE PATTERN: prints the first line of a program's output that matches; fails if the
+# process PID ends before that.
 await() {
   local line
   while ! line=$(grep -m1 -E "$3" "$2"); do
--- a/tests/cluster/cluster_scenario.cpp
+++ b/tests/cluster/cluster_scenario.cpp
@@ -13,13 +13,13 @@
 using tools::VirtualCluster;
 
 constexpr Micros kFaultPeriod = 60 * kSecond;
-constexpr Micros kSample = 50 * kMillisecond;
+constexpr Micros kSampleInterval = 50 * kMillisecond;
 constexpr int kWorkers = 12;
 constexpr const char* kDuty = "housekeeping";
 
-// How long a worker may be without an owner that runs, from the settings: the dead owner must be probed (each
-// member probes each other within 2n - 1 of its protocol periods, stretched by its local health multiplier),
-// the longest suspicion must time out, and the gossip must travel.
+// The longest time that a worker may be without a running owner, computed from the settings. It is the sum of
+// the time until the dead owner is probed (every member probes every other within 2n - 1 protocol periods,
+// which its local health score lengthens), the longest suspicion timeout, and the time that the gossip takes.
 Micros OwnerlessBound(const membership::Settings& settings, int members) {
   const Micros probe = settings.probe_interval * 2;
   const Micros suspicion = settings.suspicion_min_periods * settings.probe_interval *
@@ -34,13 +34,15 @@
   options.seed = seed;
   members_ = 3 + static_cast<int>(random_(6));
   options.workers = kWorkers;
-  options.drift = 0.01;
-  options.clocks_apart = 500 * kMillisecond;
+  options.max_clock_drift = 0.01;
+  options.max_clock_offset = 500 * kMillisecond;
   constexpr double kLoss[] = {0.0, 0.0, 0.02, 0.05, 0.2};
   options.network.loss = kLoss[random_(5)];
-  options.network.doubled = random_(2) == 0 ? 0.0 : 0.05;
-  if (random_(2) == 0)
-    options.network.slow = 0.05, options.network.slow_most = 300 * kMillisecond;
+  options.network.duplication = random_(2) == 0 ? 0.0 : 0.05;
+  if (random_(2) == 0) {
+    options.network.slow_share = 0.05;
+    options.network.max_slow_delay = 300 * kMillisecond;
+  }
   options.settings.probing = duties::ProbeSettings{"", 2 * kSecond, kSecond, 32};
   options.settings.exclusive = {kDuty};
   for (int i = 0; i < std::min(members_, random_(2) == 0 ? 3 : 5); ++i)
@@ -51,26 +53,26 @@
   cluster_ = std::make_unique<VirtualCluster>(options);
   for (int i = 0; i < members_; ++i)
     cluster_->Add();
-  Watch();
+  InstallCallbacks();
 }
 
 ClusterVerdict ClusterScenario::Play() {
   for (int i = 0; i < members_; ++i)
-    cluster_->At(static_cast<Micros>(random_(2'000'000)), [this, i] { cluster_->Begin(i); });
+    cluster_->ScheduleAt(static_cast<Micros>(random_(2'000'000)), [this, i] { cluster_->Start(i); });
   PlanFaults();
-  for (Micros at = kSample; at <= kFaultPeriod && verdict_.broken.empty(); at += kSample) {
+  for (Micros at = kSampleInterval; at <= kFaultPeriod && verdict_.violation.empty(); at += kSampleInterval) {
     cluster_->RunUntil(at);
     CheckOwners();
   }
-  MendAll();
-  if (verdict_.broken.empty())
+  EndFaults();
+  if (verdict_.violation.empty())
     CheckViews();
-  if (verdict_.broken.empty())
+  if (verdict_.violation.empty())
     CheckProbes();
-  if (verdict_.broken.empty())
+  if (verdict_.violation.empty())
     CheckLease();
   for (int i = 0; i < members_; ++i) {
-    if (!cluster_->Runs(i))
+    if (!cluster_->IsRunning(i))
       continue;
     verdict_.takeovers += cluster_->core(i).probing()->counters().takeovers;
     verdict_.deaths_refuted += cluster_->core(i).members().counters().deaths_refuted;
@@ -78,55 +80,58 @@
   return verdict_;
 }
 
-void ClusterScenario::Break(const std::string& what) {
-  if (!verdict_.broken.empty())
+void ClusterScenario::ReportViolation(const std::string& violation) {
+  if (!verdict_.violation.empty())
     return;
   std::ostringstream text;
-  text << "at " << static_cast<double>(cluster_->now()) / kSecond << " s: " << what;
-  verdict_.broken = text.str();
+  text << "at " << static_cast<double>(cluster_->now()) / kSecond << " s: " << violation;
+  verdict_.violation = text.str();
 }
 
-void ClusterScenario::Say(const std::string& what) const {
+void ClusterScenario::PrintEvent(const std::string& text) const {
   if (verbose_)
-    std::printf("%9.3f  %s\n", static_cast<double>(cluster_->now()) / kSecond, what.c_str());
+    std::printf("%9.3f  %s\n", static_cast<double>(cluster_->now()) / kSecond, text.c_str());
 }
 
-void ClusterScenario::Watch() {
+void ClusterScenario::InstallCallbacks() {
   cluster_->on_lease = [this](int member, const cluster::LeaseChange& change) {
     CheckLeaseChange(member, change);
   };
   cluster_->on_result = [this](int member, const duties::ProbeResult& result) {
     duties::Stamp& last = last_results_[{member, result.worker}];
     if (result.stamp < last)
-      Break("an old result came after a newer one at " + cluster_->name(member));
+      ReportViolation(cluster_->name(member) + " delivered a result of " + result.worker +
+                      " that is older than the one before");
     last = result.stamp;
   };
   cluster_->on_probe = [this](int, const std::string& worker) {
     probe_times_[worker].push_back(cluster_->now());
   };
-  cluster_->on_news = [this](int member, const membership::MembershipChange& change) {
-    constexpr const char* kWhat[] = {" joined", " restarted", " suspect", " alive", " dead", " left"};
-    Say(cluster_->name(member) + ": " + change.member.name + kWhat[static_cast<int>(change.kind)]);
+  cluster_->on_membership_change = [this](int member, const membership::MembershipChange& change) {
+    constexpr const char* kKinds[] = {" joined", " restarted", " suspect", " alive", " dead", " left"};
+    PrintEvent(cluster_->name(member) + ": " + change.member.name + kKinds[static_cast<int>(change.kind)]);
   };
 }
 
 void ClusterScenario::CheckLeaseChange(int member, const cluster::LeaseChange& change) {
-  Say(cluster_->name(member) + (change.acquired ? " takes " : " loses ") + change.duty + " under " +
-      std::to_string(change.term));
+  PrintEvent(cluster_->name(member) + (change.acquired ? " acquires " : " loses ") + change.duty +
+             " in term " + std::to_string(change.term));
   if (!change.acquired)
     return;
   ++verdict_.leases;
   for (int other = 0; other < members_; ++other) {
-    if (other != member && cluster_->Runs(other) &&
+    if (other != member && cluster_->IsRunning(other) &&
         cluster_->core(other).leases().at(change.duty).HeldTerm(cluster_->LocalTime(other)))
-      Break(cluster_->name(member) + " and " + cluster_->name(other) + " both hold " + change.duty);
+      ReportViolation(cluster_->name(member) + " and " + cluster_->name(other) + " both hold the lease of " +
+                      change.duty);
   }
   if (change.term <= last_term_)
-    Break("a term was not above the one before");
+    ReportViolation("the term of a lease, " + std::to_string(change.term) +
+                    ", is not above the previous one, " + std::to_string(last_term_));
   last_term_ = change.term;
 }
 
-// Faults are drawn one after another; at any time at least one member is left to serve.
+// Draws the faults one after another. At least one member is running and not paused at any time.
 void ClusterScenario::PlanFaults() {
   Micros at = 8 * kSecond;
   while (at < kFaultPeriod - 8 * kSecond) {
@@ -134,7 +139,7 @@
     const Micros duration = 1 * kSecond + random_(12'000'000);
     switch (random_(7)) {
       case 0:
-        PlanDeath(at, member, duration);
+        PlanKill(at, member, duration);
         break;
       case 1:
         PlanRestart(at, member);
@@ -143,7 +148,7 @@
         PlanPause(at, member, duration);
         break;
       case 3:
-        PlanSplit(at, duration);
+        PlanPartition(at, duration);
         break;
       case 4:
         PlanCut(at, member, duration);
@@ -158,76 +163,77 @@
   }
 }
 
-void ClusterScenario::PlanDeath(Micros at, int member, Micros duration) {
-  cluster_->At(at, [this, member] { TakeDown(member, "dies"); });
-  cluster_->At(at + duration, [this, member] { BringUp(member); });
+void ClusterScenario::PlanKill(Micros at, int member, Micros duration) {
+  cluster_->ScheduleAt(at, [this, member] { StopMember(member, "is killed"); });
+  cluster_->ScheduleAt(at + duration, [this, member] { StartMember(member); });
 }
 
 void ClusterScenario::PlanRestart(Micros at, int member) {
-  cluster_->At(at, [this, member] {
-    if (!cluster_->Runs(member))
+  cluster_->ScheduleAt(at, [this, member] {
+    if (!cluster_->IsRunning(member))
       return;
-    Say(cluster_->name(member) + " restarts");
+    PrintEvent(cluster_->name(member) + " restarts");
     ForgetResults(member);
     cluster_->Restart(member);
   });
 }
 
 void ClusterScenario::PlanPause(Micros at, int member, Micros duration) {
-  cluster_->At(at, [this, member] {
-    if (Serving() < 2 || !cluster_->Runs(member))
+  cluster_->ScheduleAt(at, [this, member] {
+    if (CountServing() < 2 || !cluster_->IsRunning(member))
       return;
-    Say(cluster_->name(member) + " is paused");
+    PrintEvent(cluster_->name(member) + " is paused");
     cluster_->Pause(member);
   });
-  cluster_->At(at + duration, [this, member] {
-    if (!cluster_->Stands(member))
+  cluster_->ScheduleAt(at + duration, [this, member] {
+    if (!cluster_->IsPaused(member))
       return;
-    Say(cluster_->name(member) + " is resumed");
+    PrintEvent(cluster_->name(member) + " is resumed");
     cluster_->Resume(member);
   });
 }
 
-void ClusterScenario::PlanSplit(Micros at, Micros duration) {
+void ClusterScenario::PlanPartition(Micros at, Micros duration) {
   std::set<int> side;
   for (int member = 0; member < members_; ++member) {
     if (random_(2) == 0)
       side.insert(member);
   }
-  cluster_->At(at, [this, side] {
-    Say("split");
-    cluster_->Split(side);
+  cluster_->ScheduleAt(at, [this, side] {
+    PrintEvent("partition");
+    cluster_->Partition(side);
   });
-  cluster_->At(at + duration, [this] {
-    Say("mended");
-    cluster_->Mend();
+  cluster_->ScheduleAt(at + duration, [this] {
+    PrintEvent("the partition is healed");
+    cluster_->HealAll();
   });
 }
 
 void ClusterScenario::PlanCut(Micros at, int member, Micros duration) {
   const int to = static_cast<int>(random_(members_));
-  cluster_->At(at, [this, member, to] {
-    Say("cut from " + cluster_->name(member) + " to " + cluster_->name(to));
+  cluster_->ScheduleAt(at, [this, member, to] {
+    PrintEvent("the link from " + cluster_->name(member) + " to " + cluster_->name(to) + " is cut");
     cluster_->Cut(member, to);
   });
-  cluster_->At(at + duration, [this] { cluster_->Mend(); });
+  cluster_->ScheduleAt(at + duration, [this] { cluster_->HealAll(); });
 }
 
 void ClusterScenario::PlanDeparture(Micros at, int member, Micros duration) {
-  cluster_->At(at, [this, member] {
-    if (Serving() < 2 || !cluster_->Runs(member) || cluster_->Stands(member))
+  cluster_->ScheduleAt(at, [this, member] {
+    if (CountServing() < 2 || !cluster_->IsRunning(member) || cluster_->IsPaused(member))
       return;
-    Say(cluster_->name(member) + " leaves");
+    PrintEvent(cluster_->name(member) + " leaves");
     cluster_->Leave(member);
-    cluster_->At(cluster_->now() + 400 * kMillisecond, [this, member] { TakeDown(member, "is gone"); });
+    cluster_->ScheduleAt(cluster_->now() + 400 * kMillisecond,
+                         [this, member] { StopMember(member, "ends"); });
   });
-  cluster_->At(at + duration, [this, member] { BringUp(member); });
+  cluster_->ScheduleAt(at + duration, [this, member] { StartMember(member); });
 }
 
-int ClusterScenario::Serving() const {
+int ClusterScenario::CountServing() const {
   int serving = 0;
   for (int i = 0; i < members_; ++i)
-    serving += cluster_->Runs(i) && !cluster_->Stands(i);
+    serving += cluster_->IsRunning(i) && !cluster_->IsPaused(i);
   return serving;
 }
 
@@ -235,31 +241,31 @@
   std::erase_if(last_results_, [member](const auto& result) { return result.first.first == member; });
 }
 
-void ClusterScenario::TakeDown(int member, const char* how) {
-  if (Serving() < 2 || !cluster_->Runs(member))
+void ClusterScenario::StopMember(int member, const char* how) {
+  if (CountServing() < 2 || !cluster_->IsRunning(member))
     return;
-  Say(cluster_->name(member) + " " + how);
+  PrintEvent(cluster_->name(member) + " " + how);
   ForgetResults(member);
   cluster_->Kill(member);
 }
 
-void ClusterScenario::BringUp(int member) {
-  if (cluster_->Runs(member))
+void ClusterScenario::StartMember(int member) {
+  if (cluster_->IsRunning(member))
     return;
-  Say(cluster_->name(member) + " begins");
-  cluster_->Begin(member);
+  PrintEvent(cluster_->name(member) + " starts");
+  cluster_->Start(member);
 }
 
-// A worker has an owner if some member that runs takes it for its own.
+// A worker has an owner if a member that is running and not paused considers itself the owner.
 void ClusterScenario::CheckOwners() {
   verdict_.ownerless_bound = OwnerlessBound(settings_.membership, members_);
   if (cluster_->now() < 3 * kSecond)
-    return;  // until all have begun
+    return;  // some members have not started yet
   for (int w = 0; w < kWorkers; ++w) {
     const std::string worker = cluster_->WorkerName(w);
     bool owned = false;
     for (int i = 0; i < members_ && !owned; ++i) {
-      owned = cluster_->Runs(i) && !cluster_->Stands(i) &&
+      owned = cluster_->IsRunning(i) && !cluster_->IsPaused(i) &&
               cluster_->core(i).probing()->OwnerOf(worker) == cluster_->name(i);
     }
     Micros& since = ownerless_since_[worker];
@@ -272,28 +278,29 @@
     }
   }
   if (verdict_.ownerless > verdict_.ownerless_bound)
-    Break("a worker was without an owner for longer than the bound");
+    ReportViolation("a worker had no running owner for " + std::to_string(verdict_.ownerless) +
+                    " us, allowed are " + std::to_string(verdict_.ownerless_bound) + " us");
 }
 
 void ClusterScenario::ResumeAll() {
   for (int i = 0; i < members_; ++i) {
-    if (cluster_->Stands(i))
+    if (cluster_->IsPaused(i))
       cluster_->Resume(i);
   }
 }
 
-void ClusterScenario::MendAll() {
-  cluster_->Mend();
+void ClusterScenario::EndFaults() {
+  cluster_->HealAll();
   ResumeAll();
-  // The rest of the plan may still take a member down; all are up at the end.
+  // Faults that were scheduled earlier may still stop a member. All members are running after this time.
   cluster_->RunUntil(kFaultPeriod + 15 * kSecond);
-  cluster_->Mend();
+  cluster_->HealAll();
   ResumeAll();
-  const int dead = static_cast<int>(random_(members_ + 1));  // one stays dead, or none
-  if (dead < members_ && cluster_->Runs(dead) && members_ > 3)
-    TakeDown(dead, "stays dead");
+  const int dead = static_cast<int>(random_(members_ + 1));  // `members_`: no member stays dead
+  if (dead < members_ && cluster_->IsRunning(dead) && members_ > 3)
+    StopMember(dead, "stays dead");
   cluster_->SetNetwork(tools::Network{});
-  Say("all faults are mended");
+  PrintEvent("all faults have ended");
   const membership::Settings& settings = settings_.membership;
   cluster_->RunUntil(cluster_->now() + OwnerlessBound(settings, members_) +
                      4 * settings.anti_entropy_interval);
@@ -301,19 +308,21 @@
 
 void ClusterScenario::CheckViews() {
   for (int i = 0; i < members_; ++i) {
-    if (!cluster_->Runs(i))
+    if (!cluster_->IsRunning(i))
       continue;
     for (int j = 0; j < members_; ++j) {
       const std::optional<State> state = cluster_->core(i).members().StateOf(cluster_->name(j));
-      if (cluster_->Runs(j) && state != State::kAlive)
-        Break(cluster_->name(i) + " does not take " + cluster_->name(j) + " for alive, though it is");
-      if (!cluster_->Runs(j) && (state == State::kAlive || state == State::kSuspect))
-        Break(cluster_->name(i) + " takes " + cluster_->name(j) + " for alive, though it is dead");
+      if (cluster_->IsRunning(j) && state != State::kAlive)
+        ReportViolation(cluster_->name(i) + " does not consider " + cluster_->name(j) +
+                        " alive, but it is running");
+      if (!cluster_->IsRunning(j) && (state == State::kAlive || state == State::kSuspect))
+        ReportViolation(cluster_->name(i) + " considers " + cluster_->name(j) +
+                        " alive or suspect, but it is dead");
     }
   }
 }
 
-// Without faults each worker is probed by one member, once an interval.
+// Without faults, one member probes each worker once per interval.
 void ClusterScenario::CheckProbes() {
   const Micros interval = settings_.probing->interval;
   probe_times_.clear();
@@ -322,7 +331,8 @@
   for (int w = 0; w < kWorkers; ++w) {
     const auto times = probe_times_[cluster_->WorkerName(w)].size();
     if (times < 4 || times > 6)
-      Break(cluster_->WorkerName(w) + " was probed " + std::to_string(times) + " times in 5 intervals");
+      ReportViolation(cluster_->WorkerName(w) + " was probed " + std::to_string(times) +
+                      " times in 5 intervals, expected 4 to 6");
   }
 }
 
@@ -330,7 +340,7 @@
   int voters = 0;
   int holders = 0;
   for (int i = 0; i < members_; ++i) {
-    if (!cluster_->Runs(i))
+    if (!cluster_->IsRunning(i))
       continue;
     voters +=
         static_cast<int>(std::count(settings_.voters.begin(), settings_.voters.end(), cluster_->name(i)));
@@ -338,8 +348,9 @@
   }
   const bool majority = 2 * voters > static_cast<int>(settings_.voters.size());
   if (holders != (majority ? 1 : 0))
-    Break(std::to_string(holders) + " hold the lease after the faults, with " + std::to_string(voters) +
-          " of " + std::to_string(settings_.voters.size()) + " voters up");
+    ReportViolation(std::to_string(holders) + " members hold the lease after the faults, with " +
+                    std::to_string(voters) + " of " + std::to_string(settings_.voters.size()) +
+                    " voters running");
 }
 
 }  // namespace aldersill::tests
--- a/tests/cluster/cluster_scenario.h
+++ b/tests/cluster/cluster_scenario.h
@@ -1,6 +1,7 @@
-// One random scenario for a virtual cluster, drawn from a seed: a number of members, a network with faults,
-// and a plan of deaths, restarts, pauses, departures, splits and one-way cuts. Then every fault is mended,
-// and the promises of membership, probe sharing and the lease are checked.
+// A random scenario for a virtual cluster, drawn from a seed: the number of members, the network's loss and
+// delays, and a schedule of kills, restarts, pauses, departures, partitions and one-way cuts. Some invariants
+// of membership, probe sharing and the lease are checked during the faults, the others after the faults have
+// ended.
 #ifndef ALDERSILL_TESTS_CLUSTER_CLUSTER_SCENARIO_H_
 #define ALDERSILL_TESTS_CLUSTER_CLUSTER_SCENARIO_H_
 
@@ -17,38 +18,49 @@
 namespace aldersill::tests {
 
 struct ClusterVerdict {
-  std::string broken;  // the first broken promise; empty if all were kept
+  std::string violation;  // the first violated invariant; empty if there was none
+  // The longest time that a worker had no running owner, and the time allowed.
   Micros ownerless = 0, ownerless_bound = 0;
+  // Totals over all members. `leases` counts acquired leases.
   std::uint64_t takeovers = 0, deaths_refuted = 0, leases = 0;
 };
 
 class ClusterScenario {
  public:
+  // `verbose`: print the events of the run.
   ClusterScenario(std::uint64_t seed, bool verbose);
 
+  // Runs the scenario up to the first violation or to its end. Call once.
   ClusterVerdict Play();
   tools::VirtualCluster& cluster() { return *cluster_; }
 
  private:
-  void Break(const std::string& what);
-  void Say(const std::string& what) const;
-  void Watch();
+  // Records the violation unless there is an earlier one.
+  void ReportViolation(const std::string& text);
+  // Prints the text with the time if the scenario is verbose.
+  void PrintEvent(const std::string& text) const;
+  void InstallCallbacks();
   void CheckLeaseChange(int member, const cluster::LeaseChange& change);
 
-  // The plan of faults; each draws its parameters when it is planned.
+  // Schedule the faults. The parameters of a fault are drawn when it is scheduled.
   void PlanFaults();
-  void PlanDeath(Micros at, int member, Micros duration);
+  void PlanKill(Micros at, int member, Micros duration);
   void PlanRestart(Micros at, int member);
   void PlanPause(Micros at, int member, Micros duration);
-  void PlanSplit(Micros at, Micros duration);
+  void PlanPartition(Micros at, Micros duration);
   void PlanCut(Micros at, int member, Micros duration);
   void PlanDeparture(Micros at, int member, Micros duration);
-  int Serving() const;
+  // Number of members that are running and not paused.
+  int CountServing() const;
+  // Drops the last results of a member whose process has ended: a new process may get older ones again.
   void ForgetResults(int member);
-  void TakeDown(int member, const char* how);
-  void BringUp(int member);
+  // Kills the member unless it is the last one serving. `how` is the verb phrase of the printed event.
+  void StopMember(int member, const char* how);
+  void StartMember(int member);
   void ResumeAll();
-  void MendAll();
+  // Heals the network and resumes the members. One member may be killed for good. Then waits until the
+  // cluster must have converged.
+  void EndFaults();
 
   void CheckOwners();
   void CheckViews();
--- a/tests/daemon/cluster_test.cpp
+++ b/tests/daemon/cluster_test.cpp
@@ -1,6 +1,6 @@
-// A cluster of three started daemons: how often each worker is probed, and what happens when a member is
-// killed, suspended, cut off or restarted. CI runs the test of kills with two of them; ALDERSILL_KILLS=20
-// makes the measurement in docs/duties.md.
+// Tests of a cluster of three daemon processes: the rate of health checks, and the behavior when a member is
+// killed, suspended, isolated or restarted. The test of kills makes two of them by default; with
+// ALDERSILL_KILLS=20 it makes the measurement in docs/duties.md.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <sys/socket.h>
@@ -29,7 +29,7 @@
   Await("the cluster has converged", [&] { return cluster.Converged(); });
 }
 
-// The number of probes of the worker that was probed least.
+// The smallest number of probes that any worker has received since `since`.
 std::size_t FewestProbes(const tools::ProbedWorkers& workers, Clock::time_point since) {
   std::size_t fewest = SIZE_MAX;
   for (int worker = 0; worker < workers.size(); ++worker)
@@ -46,7 +46,7 @@
   const ClusterUnderTest together(&shared, /*joined=*/true);
   const ClusterUnderTest apart(&unshared, /*joined=*/false);
   AwaitConverged(together);
-  // One time window for both, so that a slow machine slows both alike.
+  // Both clusters are measured in the same time window, so that a slow machine affects both equally.
   const auto from = Clock::now();
   Await("90 probes of each worker", [&] { return FewestProbes(unshared, from) >= 90; });
   double worst_ratio = kThird;
@@ -84,20 +84,20 @@
   return longest;
 }
 
-// Kills a member and restarts it once the others have taken over its workers. The longest time that a worker
-// was not probed after the kill, in seconds.
+// Kills a member and restarts it once the others have taken over its workers. Returns the longest time, in
+// seconds, that a worker was not probed after the kill.
 double KillAndRestart(ClusterUnderTest* cluster, const tools::ProbedWorkers& workers, int victim) {
   const int survivor = (victim + 1) % kMembers;
   const std::uint64_t epoch = cluster->EpochOf(survivor, victim);
   const auto killed_at = Clock::now();
   cluster->daemon(victim).Signal(SIGKILL);
   CHECK(cluster->daemon(victim).WaitForExit() == -SIGKILL);
-  // Probes that were under way at the kill do not count.
+  // Probes that were in flight at the time of the kill do not count.
   const auto from = killed_at + milliseconds(kWorkerProbeMs / 5);
   Await("every worker is still probed", [&] { return FewestProbes(workers, from) > 0; });
   const double gap = LongestGapAfter(workers, killed_at);
   cluster->StartMember(victim);
-  Await("it has joined under a new incarnation", [&] { return cluster->EpochOf(survivor, victim) > epoch; });
+  Await("the member has joined with a new epoch", [&] { return cluster->EpochOf(survivor, victim) > epoch; });
   return gap;
 }
 
@@ -112,8 +112,8 @@
   }
   AwaitConverged(cluster);
   std::sort(gaps.begin(), gaps.end());
-  // Up to 2n - 1 probe intervals until the killed member is probed, the suspicion, a tenth of the workers'
-  // probe interval, and that interval itself.
+  // The sum of up to 2n - 1 protocol periods until the killed member is probed, the suspicion timeout, a
+  // tenth of the workers' probe interval, and that interval itself.
   const double bound =
       ((2 * kMembers - 1 + kSuspicionRounds) * kMemberProbeMs + kWorkerProbeMs / 10 + kWorkerProbeMs) /
       1'000.0;
@@ -136,13 +136,13 @@
     const auto holder = cluster.LeaseHolder();
     return holder && *holder != isolated;
   });
-  Await("each side takes the other for dead", [&] {
+  Await("each side considers the other dead", [&] {
     two_held |= cluster.TwoHoldLease();
     return std::all_of(majority.begin(), majority.end(), [&](int member) {
       return cluster.StateOf(isolated, member) == "dead" && cluster.StateOf(member, isolated) == "dead";
     });
   });
-  // Both sides probe now: two probes an interval for each worker, and no more.
+  // One member on each side of the partition probes each worker: two probes per interval.
   CHECK(cluster.OwnedWorkers(isolated) == kWorkers);
   CHECK(cluster.OwnedWorkers(majority[0]) + cluster.OwnedWorkers(majority[1]) == kWorkers);
   CHECK(cluster.LeaseTerm(isolated) == 0);
@@ -166,9 +166,9 @@
   const int third = (suspended + 2) % kMembers;
   const std::uint64_t term = cluster.LeaseTerm(suspended);
   cluster.daemon(suspended).Suspend();
-  Await("another holds the lease, under a higher term",
+  Await("another member holds the lease in a higher term",
         [&] { return std::max(cluster.LeaseTerm(other), cluster.LeaseTerm(third)) > term; });
-  Await("the others own its workers",
+  Await("the other members own all workers",
         [&] { return cluster.OwnedWorkers(other) + cluster.OwnedWorkers(third) == kWorkers; });
   cluster.daemon(suspended).Signal(SIGCONT);
   CHECK(cluster.LeaseTerm(suspended) == 0);
@@ -177,16 +177,17 @@
 
 // ---- Rolling restarts ----
 
-// Ends the member in order and starts it again.
+// Ends the member with SIGTERM and starts it again.
 void RestartMember(ClusterUnderTest* cluster, int member) {
   const int observer = (member + 1) % kMembers;
   const std::uint64_t epoch = cluster->EpochOf(observer, member);
   cluster->daemon(member).Signal(SIGTERM);
-  // It announces that it leaves, so its workers have other owners before it has ended.
-  Await("the others know that it left", [&] { return cluster->StateOf(observer, member) == "left"; });
+  // The member announces that it leaves, so its workers get other owners before its process has ended.
+  Await("another member knows that it has left",
+        [&] { return cluster->StateOf(observer, member) == "left"; });
   CHECK(cluster->daemon(member).WaitForExit() == 0);
   cluster->StartMember(member);
-  Await("it has joined under a new incarnation",
+  Await("the member has joined with a new epoch",
         [&] { return cluster->EpochOf(observer, member) > epoch && cluster->AllAlive(); });
 }
 
@@ -214,28 +215,29 @@
   for (int member = 0; member < kMembers; ++member)
     RestartMember(&cluster, member);
   Await("each worker has one owner", [&] { return cluster.EachWorkerOwnedOnce(); });
-  MESSAGE("longest that a worker went without a probe: " << LongestGapBetween(workers, from, Clock::now())
-                                                         << " s, interval " << kWorkerProbeMs / 1'000.0
-                                                         << " s");
+  MESSAGE("longest time that a worker was not probed: " << LongestGapBetween(workers, from, Clock::now())
+                                                        << " s, interval " << kWorkerProbeMs / 1'000.0
+                                                        << " s");
 }
 
 // ---- Foreign datagrams ----
 
-TEST_CASE("datagrams that no member sent are counted by reason and dropped") {
+TEST_CASE("datagrams from non-members are dropped and counted by reason") {
   tools::ProbedWorkers workers(1);
   ClusterUnderTest cluster(&workers, /*joined=*/true);
   Await("all members are alive", [&] { return cluster.AllAlive(); });
-  const tools::Socket stranger(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+  const tools::Socket foreign_sender(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   const sockaddr_in to = tools::Loopback(cluster.daemon(0).ports().at("membership"));
   for (int i = 0; i < 2'000; ++i) {
     const std::string bytes(static_cast<std::size_t>(i % 1'500), static_cast<char>(i));
-    sendto(stranger.fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof(to));
+    sendto(foreign_sender.fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to),
+           sizeof(to));
   }
-  Await("they are counted", [&] {
+  Await("the dropped datagrams are counted", [&] {
     const nlohmann::json dropped = cluster.Query(0, "members").at("dropped");
     return dropped.at("truncated") > 0 && dropped.at("format") > 0;
   });
-  // None of them got as far as the decoder.
+  // None of them reached the decoder.
   CHECK(cluster.Query(0, "members").at("dropped").at("malformed") == 0);
   Await("all members are alive", [&] { return cluster.AllAlive(); });
   cluster.daemon(0).Signal(SIGTERM);
--- a/tests/daemon/cluster_under_test.h
+++ b/tests/daemon/cluster_under_test.h
@@ -1,4 +1,4 @@
-// Three started daemons that are members of one cluster over a relay that can drop datagrams.
+// A cluster of three daemon processes, connected by a relay that can drop datagrams.
 #ifndef ALDERSILL_TESTS_DAEMON_CLUSTER_UNDER_TEST_H_
 #define ALDERSILL_TESTS_DAEMON_CLUSTER_UNDER_TEST_H_
 
@@ -23,13 +23,14 @@
 namespace aldersill::tests {
 
 constexpr int kMembers = 3;
-// Short, so that the tests are; what follows from them is in proportion.
+// Shorter than the defaults, to keep the tests short. The bounds in the tests are computed from these values.
 constexpr int kMemberProbeMs = 100;
 constexpr int kSuspicionRounds = 4;
 constexpr int kWorkerProbeMs = 500;
 constexpr int kLeaseMs = 1'500;
 
-// Waits until the condition holds, for as long as a slow machine may take.
+// Waits until the condition holds. Fails after 60 s, which is enough for a slow machine. `what` names the
+// condition in the report.
 inline void Await(const char* what, const std::function<bool()>& condition) {
   using Clock = std::chrono::steady_clock;
   CAPTURE(what);
@@ -42,7 +43,7 @@
 
 class ClusterUnderTest {
  public:
-  // `joined`: whether the daemons know of each other; else each is alone.
+  // `joined`: whether the daemons know the addresses of the others; if not, each forms a cluster of its own.
   ClusterUnderTest(tools::ProbedWorkers* workers, bool joined)
       : workers_(workers), joined_(joined), relay_(kMembers), daemons_(kMembers) {
     WriteKeyFile();
@@ -50,7 +51,7 @@
       StartMember(member);
   }
 
-  // Starts the member, again if it ran before.
+  // Starts the member, or restarts it if it has run before.
   void StartMember(int member) {
     auto& daemon = daemons_[member];
     daemon = std::make_unique<DaemonUnderTest>(Config(member), Settings(member));
@@ -69,17 +70,18 @@
     }
   }
 
-  // The answer at the member's control socket; an empty object if there is none.
+  // The reply from the member's control socket; an empty object if there is no reply.
   nlohmann::json Query(int member, const char* query) const {
     const auto answer = control::Query(ControlSocket(member), query);
     return answer ? nlohmann::json::parse(*answer) : nlohmann::json::object();
   }
 
-  // What one member knows of another: its state, empty if unknown, and its incarnation's epoch, 0 if unknown.
+  // The state of `member` in the observer's view; empty if unknown.
   std::string StateOf(int observer, int member) const {
     const auto entry = MemberEntry(observer, member);
     return entry ? entry->at("state").get<std::string>() : "";
   }
+  // The epoch of `member` in the observer's view; 0 if unknown.
   std::uint64_t EpochOf(int observer, int member) const {
     const auto entry = MemberEntry(observer, member);
     return entry ? entry->at("epoch").get<std::uint64_t>() : 0;
@@ -94,7 +96,7 @@
     return true;
   }
 
-  // How many workers the member owns the health checks of.
+  // Number of workers that the member owns, i.e. whose health checks it makes.
   int OwnedWorkers(int member) const { return Query(member, "duties").at("probing").at("owned"); }
   bool EachWorkerOwnedOnce() const {
     int owned = 0;
@@ -116,8 +118,9 @@
     }
     return std::nullopt;
   }
-  // Whether two hold the lease at once: one holds it under the same term before and after another was seen to
-  // hold it.
+  // Whether two members hold the lease at the same time. The members are queried one after another, so a
+  // member counts only if it holds the lease in the same term before and after another one was seen to hold
+  // it.
   bool TwoHoldLease() const {
     for (int member = 0; member < kMembers; ++member) {
       const std::uint64_t term = LeaseTerm(member);
--- a/tools/exchange_file.cpp
+++ b/tools/exchange_file.cpp
@@ -17,7 +17,8 @@
   if (begin < line.size() && line[begin] == ' ')
     ++begin;
   std::string bytes = line.substr(begin);
-  // `\n` is a bare line feed: the platform's JSON lines end with it, those of HTTP and RESP with CR LF.
+  // `\n` stands for a bare line feed, which ends the platform's JSON lines. Lines of HTTP and RESP end with
+  // CR LF.
   for (std::size_t at; (at = bytes.find("\\n")) != std::string::npos;)
     bytes.replace(at, 2, 1, '\n');
   return has_line_end ? bytes + "\r\n" : bytes;
@@ -41,7 +42,8 @@
     ++number;
     if (line.starts_with("|")) {
       if (steps.empty())
-        throw std::runtime_error("line " + std::to_string(number) + ": a block without a step");
+        throw std::runtime_error("line " + std::to_string(number) +
+                                 ": expected a step before the first block of bytes");
       steps.back().block += BlockBytes(line);
       continue;
     }
@@ -53,8 +55,8 @@
 }
 
 BlockMatch MatchBlock(std::string_view pattern, std::string_view text) {
-  std::size_t at = 0;    // in the text
-  std::size_t next = 0;  // in the pattern
+  std::size_t at = 0;    // position in the text
+  std::size_t next = 0;  // position in the pattern
   while (next < pattern.size()) {
     if (pattern.substr(next, kWildcard.size()) != kWildcard) {
       if (at == text.size())
@@ -64,7 +66,8 @@
       continue;
     }
     next += kWildcard.size();
-    // The wildcard ends where the pattern goes on: with the rest of its line, or up to the next wildcard.
+    // The wildcard ends where the text after it matches: the rest of its line in the pattern, or the part up
+    // to the next wildcard.
     const std::size_t end = std::min(pattern.find(kWildcard, next), pattern.find('\n', next) + 1);
     const std::string_view after = pattern.substr(next, end - next);
     const std::size_t line_end = text.find('\n', at);
--- a/tools/exchange_file.h
+++ b/tools/exchange_file.h
@@ -1,5 +1,5 @@
-// The text form of a recorded byte exchange: steps, one a line, each with the block of bytes that follows it.
-// docs/rehearsal.md describes the form.
+// Parses the text format of a recorded byte exchange: one step per line, followed by its block of bytes.
+// docs/rehearsal.md describes the format.
 #ifndef ALDERSILL_TOOLS_EXCHANGE_FILE_H_
 #define ALDERSILL_TOOLS_EXCHANGE_FILE_H_
 
@@ -12,17 +12,17 @@
 namespace aldersill::tools {
 
 struct ExchangeStep {
-  int line = 0;
-  std::vector<std::string> words;  // the step and its arguments
+  int line = 0;                    // line number in the file, from 1
+  std::vector<std::string> words;  // the verb and its arguments
   std::string block;               // the bytes of the `|` lines that follow
 };
 
-// Throws std::runtime_error that names the line.
+// Throws std::runtime_error with the line number if a block has no step before it.
 std::vector<ExchangeStep> ParseExchange(const std::string& text);
 
 struct BlockMatch {
-  std::optional<std::size_t> length;  // of the text that matched
-  bool needs_more = false;            // no match yet: more text could make one
+  std::optional<std::size_t> length;  // of the matching start of the text; none if there is no match
+  bool needs_more = false;            // no match yet, but more text could complete one
 };
 // Compares the start of `text` with a block in which `{*}` stands for anything within one line.
 BlockMatch MatchBlock(std::string_view pattern, std::string_view text);
--- a/tools/faktory_standin.cpp
+++ b/tools/faktory_standin.cpp
@@ -1,7 +1,8 @@
-// faktory_standin: pushes one client's job to a running daemon, or is a worker of one slot.
+// faktory_standin: acts as a Faktory client that pushes one job, or as a worker with one slot.
 //   faktory_standin push PORT JOBTYPE JID [TENANT [DEADLINE_MS]]
 //   faktory_standin work PORT WID JOBS [MS_EACH]
-// Ends with 0, with 1 if the daemon refused the job or the connection failed, with 2 for wrong arguments.
+// Exit status: 0 on success, 1 if the daemon rejected the job or the connection failed, 2 for wrong
+// arguments.
 #include <chrono>
 #include <cstdint>
 #include <cstdio>
@@ -18,7 +19,7 @@
 using aldersill::tools::FaktorySession;
 using Arguments = std::vector<std::string>;
 
-constexpr std::size_t kFewestArguments = 4;
+constexpr std::size_t kMinArguments = 4;
 constexpr int kDefaultJobMs = 100;
 
 std::uint16_t ParsePort(const std::string& text) { return static_cast<std::uint16_t>(std::stoi(text)); }
@@ -60,9 +61,9 @@
 int main(int argc, char** argv) {
   const Arguments arguments(argv + 1, argv + argc);
   try {
-    if (arguments.size() >= kFewestArguments && arguments[0] == "push")
+    if (arguments.size() >= kMinArguments && arguments[0] == "push")
       return Push(arguments);
-    if (arguments.size() >= kFewestArguments && arguments[0] == "work")
+    if (arguments.size() >= kMinArguments && arguments[0] == "work")
       return Work(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "faktory_standin: %s\n", error.what());
--- a/tools/fleet_table/log_line.h
+++ b/tools/fleet_table/log_line.h
@@ -11,7 +11,7 @@
 
 // A decoded log line: an event with its fields, all values as text.
 struct LogLine {
-  double time = 0.0;  // seconds: the number before a text line, or Unix time from a JSON line's "time"
+  double time = 0.0;  // seconds: the number before a text line, or the Unix time of a JSON line
   std::string event;
   std::map<std::string, std::string, std::less<>> fields;
 
--- a/tools/fleet_table/main.cpp
+++ b/tools/fleet_table/main.cpp
@@ -1,5 +1,6 @@
-// fleet_table FOLDER: totals of a run from the logs in a folder, one file (*.log) a dispatcher. Exit status
-// 0; 1 with one line on standard error if a file cannot be read or no line is a dispatcher's.
+// fleet_table FOLDER: prints the totals of a run from the logs in a folder, one file (*.log) per dispatcher.
+// Exit status: 0; 1 with a message on standard error if a file cannot be read or no line was written by a
+// dispatcher.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -25,12 +26,13 @@
 };
 
 void Define(CLI::App* app, Options* options) {
-  app->add_option("folder", options->folder, "the logs, one *.log a dispatcher")
+  app->add_option("folder", options->folder, "the folder of logs, one *.log per dispatcher")
       ->required()
       ->check(CLI::ExistingDirectory);
-  app->add_option("--every", options->settings.interval, "seconds a row")->check(CLI::Range(0.1, 86'400.0));
+  app->add_option("--every", options->settings.interval, "seconds covered by one row")
+      ->check(CLI::Range(0.1, 86'400.0));
   app->add_option("--warm-after", options->settings.warm_after,
-                  "seconds from its start that a worker is cold")
+                  "seconds after its start for which a worker is cold")
       ->check(CLI::PositiveNumber);
   app->add_option("--window", options->settings.cold_window,
                   "seconds over which a cold worker's budget is counted")
@@ -48,7 +50,7 @@
   return files;
 }
 
-// False if the file cannot be read.
+// Adds the lines of one log file. Returns false if the file cannot be read.
 bool AddFile(const std::filesystem::path& path, Totals* totals) {
   std::ifstream file(path);
   if (!file)
@@ -76,7 +78,8 @@
   }
   const Table table = totals.Result();
   if (table.lines == table.foreign_lines) {
-    fmt::print(stderr, "fleet_table: no line of a trace in {} ({} files)\n", options.folder, files.size());
+    fmt::print(stderr, "fleet_table: no line written by a dispatcher in {} ({} *.log files)\n",
+               options.folder, files.size());
     return 1;
   }
   aldersill::fleet_table::PrintReport(table, options.settings, options.max_items);
--- a/tools/fleet_table/totals.cpp
+++ b/tools/fleet_table/totals.cpp
@@ -91,7 +91,7 @@
   Dispatcher& dispatcher = dispatchers_[name];
   if (dispatcher.starts++ > 0)
     CloseOpenRecords(name, &dispatcher, /*restarted=*/true);
-  dispatcher.list_time = line.time;  // the age of the cached list is not known
+  dispatcher.list_time = line.time;  // the age of the cached list is unknown; it counts from the start
 }
 
 void Totals::ReceiveRequest(Dispatcher* dispatcher, const LogLine& line) {
@@ -140,7 +140,7 @@
 void Totals::EndAttempt(Dispatcher* dispatcher, const LogLine& line, const std::string& outcome) {
   const auto found = dispatcher->open_attempts.find(Copy(line, "attempt"));
   if (found == dispatcher->open_attempts.end())
-    return;  // ended before: the first end counts
+    return;  // the attempt has already ended; only its first end counts
   const Attempt& attempt = found->second;
   ++RowByIndex(attempt.row)->attempts[outcome];
   const auto client = dispatcher->client_by_request_id.find(attempt.request_id);
--- a/tools/fleet_table/totals.h
+++ b/tools/fleet_table/totals.h
@@ -1,7 +1,7 @@
 // Totals over all dispatchers of a run, counted from their traces (docs/trace.md): requests and attempts by
 // time and result, attempts at workers that were still warming up, the age of the endpoint lists that were
-// used, and requests without an answer. No I/O. Memory: open requests and attempts, one row an interval (at
-// most 10,000), one record a worker.
+// used, and requests without an answer. No I/O. Keeps in memory the open requests and attempts, one row per
+// interval (at most 10,000), and one record per worker.
 #ifndef ALDERSILL_TOOLS_FLEET_TABLE_TOTALS_H_
 #define ALDERSILL_TOOLS_FLEET_TABLE_TOTALS_H_
 
@@ -19,7 +19,7 @@
 
 // All times in seconds.
 struct Settings {
-  double interval = 5.0;    // covered by one row
+  double interval = 5.0;    // time covered by one row
   double warm_after = 8.8;  // from a worker's start; the dispatchers' `rules.warmAfter`
   double cold_window =
       3.0;  // over which the budget of a cold worker is counted; the dispatchers' `rules.fall`
@@ -46,7 +46,7 @@
 // A worker that received attempts while it was warming up.
 struct ColdWorker {
   std::string name;
-  int sends = 0;          // by dispatchers that knew of its start, before it was warm
+  int sends = 0;          // attempts by dispatchers that knew of its start, before it was warm
   int max_in_window = 0;  // the most of these within any `cold_window`
 };
 
@@ -67,8 +67,8 @@
   int dispatchers = 0;
   int starts = 0;
   std::int64_t lines = 0;
-  std::int64_t foreign_lines = 0;  // not written by a dispatcher
-  std::int64_t dropped_lines = 0;  // by the rate limit of the log: the counts are too low by these
+  std::int64_t foreign_lines = 0;  // lines not written by a dispatcher
+  std::int64_t dropped_lines = 0;  // lines dropped by the rate limit of the log, missing from the counts
   int out_of_range = 0;            // counts that fell beyond the last possible row
 };
 
@@ -76,9 +76,11 @@
  public:
   explicit Totals(Settings settings) : settings_(settings) {}
 
-  // Adds a line of one dispatcher. Lines of a dispatcher come in the order written; dispatchers in any order.
+  // Adds a line of a dispatcher's log. Lines of one dispatcher must be added in the order in which they were
+  // written. The order of the dispatchers does not matter.
   void Add(const std::string& dispatcher, std::string_view text);
-  // Closes what is still open, as open or unanswered, and returns the table. Call once.
+  // Counts the attempts that are still open as "open", lists the open requests as unanswered, and returns the
+  // table. Call once.
   Table Result();
 
  private:
@@ -99,7 +101,7 @@
     std::unordered_map<std::string, Attempt> open_attempts;
     std::unordered_map<std::string, std::string>
         worker_starts;        // Unix ms by worker, as discovery listed them
-    double list_time = -1.0;  // of the last answer of discovery
+    double list_time = -1.0;  // of the last response of discovery; -1 if unknown
     int starts = 0;
   };
 
@@ -126,7 +128,8 @@
   std::map<std::string, Dispatcher> dispatchers_;
   // Times of sends by dispatchers that knew of the worker's start, by worker and start in Unix seconds.
   std::map<std::pair<std::string, double>, std::vector<double>> sends_by_worker_start_;
-  // From Unix time to the clock of the logs. The fastest notification of a start counts as immediate.
+  // The difference between the clock of the logs and Unix time, in seconds: the smallest delay between a
+  // worker's start and its listing counts as zero.
   double clock_offset_ = std::numeric_limits<double>::infinity();
 };
 
--- a/tools/loopback.h
+++ b/tools/loopback.h
@@ -17,15 +17,16 @@
   ~Socket() { Close(); }
   int fd() const { return fd_; }
   void Close();
-  // Gives up the descriptor without closing it.
+  // Returns the descriptor without closing it. The caller must close it.
   int Release();
 
  private:
   int fd_;
 };
 
+// The address 127.0.0.1 with the given port.
 sockaddr_in Loopback(std::uint16_t port);
-// These throw std::runtime_error on failure. `port` 0: the kernel chooses.
+// These throw std::runtime_error on failure. With `port` 0 the kernel chooses a free port.
 Socket ListenOn(std::uint16_t port);
 Socket ConnectTo(std::uint16_t port);
 std::uint16_t PortOf(const Socket& socket);
--- a/tools/player.cpp
+++ b/tools/player.cpp
@@ -77,7 +77,7 @@
   const std::vector<std::string>& words = step.words;
   const std::string& verb = words[0];
   if (verb == "config")
-    return "";  // for the test that starts the daemon
+    return "";  // read by the test that starts the daemon
   if (words.size() < 2)
     return verb + " needs a name";
   const std::string& name = words[1];
@@ -89,7 +89,7 @@
   if (verb == "connect")
     return Connect(name, words.size() > 2 ? words[2] : name);
   if (verb == "accept")
-    return words.size() > 2 ? Accept(name, words[2]) : "accept NAME LISTENER";
+    return words.size() > 2 ? Accept(name, words[2]) : "expected: accept NAME LISTENER";
   if (verb == "stop-listening") {
     listeners_.erase(name);
     return "";
@@ -126,10 +126,10 @@
 std::string Player::Accept(const std::string& name, const std::string& listener) {
   const auto found = listeners_.find(listener);
   if (found == listeners_.end())
-    return "accept NAME LISTENER";
+    return "no listener is called " + listener;
   pollfd ready{found->second.fd(), POLLIN, 0};
   if (poll(&ready, 1, timeout_ms_) != 1)
-    return "nobody connected to " + listener;
+    return "no connection to " + listener + " within " + std::to_string(timeout_ms_) + " ms";
   peers_[name] = Peer{Socket(accept4(ready.fd, nullptr, nullptr, SOCK_CLOEXEC)), ""};
   return "";
 }
@@ -144,12 +144,12 @@
   return "";
 }
 
-// With `reset` the connection ends as that of a process that dies.
+// Closes the connection. With `reset` a TCP reset ends it, as that of a process that dies.
 std::string Player::Remove(const std::string& name, bool reset) {
   const auto peer = peers_.find(name);
-  const linger at_once{1, 0};
+  const linger reset_on_close{1, 0};
   if (reset)
-    setsockopt(peer->second.socket.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+    setsockopt(peer->second.socket.fd(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
   peers_.erase(peer);
   return "";
 }
@@ -173,14 +173,16 @@
       peer->unread.erase(0, *match.length);
       return "";
     }
-    std::string difference = "it differs";
+    std::string difference = "the received bytes differ";
     if (match.needs_more) {
       const ReadResult result = ReadMore(peer);
       if (result == ReadResult::kRead)
         continue;
-      difference = result == ReadResult::kEnded ? "the connection ended" : "nothing more came";
+      difference = result == ReadResult::kEnded
+                       ? "the connection ended"
+                       : "no more bytes arrived within " + std::to_string(timeout_ms_) + " ms";
     }
-    return difference + "; wanted:\n" + Quote(wanted) + "  had:\n" + Quote(peer->unread);
+    return difference + "; expected:\n" + Quote(wanted) + "  had:\n" + Quote(peer->unread);
   }
 }
 
@@ -188,8 +190,8 @@
   if (peer->unread.empty() && ReadMore(peer) == ReadResult::kEnded)
     return "";
   if (!peer->unread.empty())
-    return "wanted the connection's end, had:\n" + Quote(peer->unread);
-  return "the connection stayed open";
+    return "expected the end of the connection, had:\n" + Quote(peer->unread);
+  return "expected the end of the connection, but it stayed open";
 }
 
 }  // namespace aldersill::tools
--- a/tools/player.h
+++ b/tools/player.h
@@ -1,5 +1,5 @@
-// Plays a recorded byte exchange from a text file against a running daemon and reports where it differs. The
-// form of the file is in docs/rehearsal.md. The program `rehearse` and the network tests use it.
+// Plays a recorded byte exchange from a text file against a running daemon and reports the first difference.
+// docs/rehearsal.md describes the format of the file. The program `rehearse` and the network tests use it.
 #ifndef ALDERSILL_TOOLS_PLAYER_H_
 #define ALDERSILL_TOOLS_PLAYER_H_
 
@@ -17,26 +17,28 @@
 class Player {
  public:
   // `daemon_listeners`: the ports on which the daemon listens, by the names that `connect` steps use.
-  // `timeout_ms`: for each wait.
+  // `timeout_ms`: limit of each wait for bytes, a connection or the end of one.
   explicit Player(std::map<std::string, std::uint16_t> daemon_listeners, int timeout_ms = 10'000)
       : daemon_listeners_(std::move(daemon_listeners)), timeout_ms_(timeout_ms) {}
 
-  // Listens as a `listen` step does, before the file names the listener. Returns its port; `port` 0: the
-  // kernel chooses. Throws std::runtime_error on failure.
+  // Opens a listener as a `listen` step does, but before the file is played. Returns its port. With `port` 0
+  // the kernel chooses a free port. Throws std::runtime_error on failure.
   std::uint16_t Listen(const std::string& name, std::uint16_t port = 0);
   void AddDaemonListener(const std::string& name, std::uint16_t port) { daemon_listeners_[name] = port; }
 
-  // Returns an empty string if all went as recorded, else what differed, with the line's number.
+  // Returns an empty string if the exchange went as recorded, otherwise a text with the line number and the
+  // difference.
   std::string Play(const std::string& text);
 
  private:
-  struct Peer {  // a connection by the name that steps use
+  // A connection that the steps refer to by a name.
+  struct Peer {
     Socket socket;
-    std::string unread;
+    std::string unread;  // bytes received and not yet consumed by an `expect` step
   };
   enum class ReadResult { kRead, kEnded, kTimedOut };
 
-  // These return an empty string, or what differed.
+  // These return an empty string on success, otherwise a text that describes the difference.
   std::string Perform(const ExchangeStep& step);
   std::string PerformOnPeer(const ExchangeStep& step);
   std::string Connect(const std::string& name, const std::string& listener);
--- a/tools/probed_workers.cpp
+++ b/tools/probed_workers.cpp
@@ -10,7 +10,7 @@
 namespace aldersill::tools {
 namespace {
 
-constexpr int kPollMs = 50;  // also how long the end may take
+constexpr int kPollMs = 50;  // also the longest time that the destructor waits
 constexpr std::string_view kAnswer =
     "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 8\r\n\r\n"
     "{\"x0\":3}";
--- a/tools/probed_workers.h
+++ b/tools/probed_workers.h
@@ -1,4 +1,4 @@
-// Workers that only answer health checks and record when each arrived, all on one thread of their own.
+// Workers that only answer health checks and record the arrival times. One thread serves all of them.
 #ifndef ALDERSILL_TOOLS_PROBED_WORKERS_H_
 #define ALDERSILL_TOOLS_PROBED_WORKERS_H_
 
@@ -24,16 +24,16 @@
 
   std::uint16_t port(int worker) const { return ports_[static_cast<std::size_t>(worker)]; }
   int size() const { return static_cast<int>(ports_.size()); }
-  // When health checks arrived, in their order.
+  // Arrival times of the health checks, in ascending order.
   std::vector<Clock::time_point> ProbeTimes(int worker) const;
-  // How many health checks arrived at `since` or later.
+  // Number of health checks that arrived at `since` or later.
   std::size_t CountProbesSince(int worker, Clock::time_point since) const;
 
  private:
   struct Connection {
     Socket socket;
     std::size_t worker = 0;
-    std::string head;
+    std::string head;  // request bytes received so far
   };
   void Serve();
   void Accept(int listener, std::size_t worker);
@@ -42,7 +42,7 @@
 
   std::vector<Socket> listeners_;
   std::vector<std::uint16_t> ports_;
-  std::map<int, Connection> connections_;  // by file descriptor; used by the thread alone
+  std::map<int, Connection> connections_;  // by file descriptor; used only by thread_
   mutable std::mutex mutex_;
   std::vector<std::vector<Clock::time_point>> probe_times_;  // by worker; guarded by mutex_
   std::atomic<bool> stop_ = false;
--- a/tools/rehearse.cpp
+++ b/tools/rehearse.cpp
@@ -1,6 +1,6 @@
 // rehearse: plays a recorded byte exchange against a running daemon.
 //   rehearse FILE LISTENER=PORT ...      for example: rehearse calm.txt http=8000 faktory=7419
-// Ends with 0 if all went as recorded, 1 if something differed, 2 for wrong arguments.
+// Exit status: 0 if the exchange went as recorded, 1 if it differed, 2 for wrong arguments.
 #include <cstdint>
 #include <cstdio>
 #include <exception>
@@ -34,7 +34,7 @@
     for (int i = 2; i < argc; ++i)
       AddListener(argv[i], &listeners);
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "rehearse: '%s' is not LISTENER=PORT\n", error.what());
+    std::fprintf(stderr, "rehearse: expected LISTENER=PORT, got '%s'\n", error.what());
     return 2;
   }
   std::ifstream file(argc > 1 ? argv[1] : "");
--- a/tools/snmp_check.cpp
+++ b/tools/snmp_check.cpp
@@ -1,4 +1,5 @@
 // snmp_check PORT: walks ALDERSILL-MIB of a daemon on this machine and prints each variable with its value.
+// Exit status: 0; 1 if there is no variable; 2 for wrong arguments or another error.
 #include <cstdio>
 #include <exception>
 #include <stdexcept>
@@ -15,7 +16,8 @@
     for (const auto& binding : all)
       std::printf("%s = %s\n", binding.id.c_str(), binding.value.c_str());
     if (all.empty())
-      std::printf("nobody answers, or nothing is shown\n");
+      std::printf("no response from the agent, or it has no variables below %s\n",
+                  aldersill::tools::kAldersillMib);
     return all.empty() ? 1 : 0;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "snmp_check: %s\n", e.what());
--- a/tools/snmp_probe.cpp
+++ b/tools/snmp_probe.cpp
@@ -57,7 +57,7 @@
   oid name[MAX_OID_LEN];
   std::size_t length = MAX_OID_LEN;
   if (read_objid(id.c_str(), name, &length) == 0)
-    throw std::runtime_error("snmp: not an identifier: " + id);
+    throw std::runtime_error("snmp: expected an object identifier in dotted form, got '" + id + "'");
   netsnmp_pdu* pdu = snmp_pdu_create(command);
   if (command == SNMP_MSG_SET) {
     snmp_pdu_add_variable(pdu, name, length, ASN_GAUGE, &value, sizeof(value));
@@ -104,7 +104,7 @@
   settings.retries = 0;
   void* session = snmp_sess_open(&settings);
   if (session == nullptr)
-    throw std::runtime_error("snmp: cannot open a session");
+    throw std::runtime_error("snmp: cannot open a session to " + peer_);
   return session;
 }
 
@@ -114,7 +114,7 @@
                                                   : SNMP_MSG_SET;
   const std::unique_ptr<void, SessionCloser> session(OpenSession());
   netsnmp_pdu* received = nullptr;
-  // Frees the request.
+  // snmp_sess_synch_response() frees the request.
   const int status = snmp_sess_synch_response(session.get(), MakePdu(command, id, value), &received);
   const std::unique_ptr<netsnmp_pdu, PduDeleter> response(received);
   if (status != STAT_SUCCESS || response == nullptr)
--- a/tools/stand_ins.cpp
+++ b/tools/stand_ins.cpp
@@ -11,7 +11,7 @@
 namespace aldersill::tools {
 namespace {
 
-constexpr std::chrono::seconds kWatchTime(5);
+constexpr std::chrono::seconds kWatchTime(5);  // after which a watch request ends without a change
 
 std::string OkResponse(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -23,7 +23,7 @@
   for (std::size_t sent = 0; sent < text.size();) {
     const ssize_t written = send(socket_.fd(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
     if (written <= 0)
-      throw std::runtime_error("the connection broke");
+      throw std::runtime_error("cannot write: the connection has failed or the peer has closed it");
     sent += static_cast<std::size_t>(written);
   }
 }
@@ -32,7 +32,7 @@
   char buffer[8192];
   const ssize_t received = recv(socket_.fd(), buffer, sizeof(buffer), 0);
   if (received <= 0)
-    throw std::runtime_error("the connection ended");
+    throw std::runtime_error("cannot read: the connection has failed or the peer has closed it");
   unread_.append(buffer, static_cast<std::size_t>(received));
 }
 
@@ -60,13 +60,13 @@
 FaktorySession::FaktorySession(std::uint16_t port, const std::string& wid) : wire_(ConnectTo(port)) {
   const std::string greeting = wire_.ReadLine();
   if (!greeting.starts_with("+HI "))
-    throw std::runtime_error("no greeting: " + greeting);
+    throw std::runtime_error("Faktory: expected the greeting '+HI ...', got '" + greeting + "'");
   nlohmann::json hello = {{"v", 2}};
   if (!wid.empty())
     hello.update({{"wid", wid}, {"hostname", "localhost"}, {"pid", 1}, {"labels", nlohmann::json::array()}});
   const auto reply = SendCommand("HELLO " + hello.dump());
   if (reply != "+OK")
-    throw std::runtime_error("HELLO was refused: " + reply.value_or("null"));
+    throw std::runtime_error("Faktory: expected '+OK' after HELLO, got '" + reply.value_or("null") + "'");
 }
 
 std::optional<std::string> FaktorySession::SendCommand(const std::string& command) {
@@ -108,15 +108,15 @@
         return;
       try {
         ServeJobs(&session);
-      } catch (const std::exception&) {  // the daemon closed the session: open another
+      } catch (const std::exception&) {  // the daemon has closed the session; open another one
       }
       SetSession(nullptr);
     }
-  } catch (const std::exception&) {  // the daemon is gone
+  } catch (const std::exception&) {  // the daemon no longer accepts sessions
   }
 }
 
-// Until the slot is stopped or drops the session.
+// Returns when the slot is stopped or a job drops the session. Throws if the daemon closes the session.
 void FaktorySlot::ServeJobs(FaktorySession* session) {
   while (!stop_) {
     const auto fetched = session->SendCommand("FETCH default");
@@ -148,7 +148,7 @@
   for (std::string line; !(line = wire->ReadLine()).empty();) {
     const std::size_t colon = line.find(": ");
     if (colon == std::string::npos)
-      throw std::runtime_error("not a header: " + line);
+      throw std::runtime_error("HTTP: expected a header 'NAME: VALUE', got '" + line + "'");
     message.headers.emplace_back(line.substr(0, colon), line.substr(colon + 2));
   }
   const std::string length = message.Header("Content-Length");
@@ -201,7 +201,7 @@
   try {
     while (const auto answer = handler_(ReadHttp(wire)))
       wire->Write(*answer);
-  } catch (const std::exception&) {  // the daemon closed the connection
+  } catch (const std::exception&) {  // the peer has closed the connection
   }
   wire->Abort();
 }
--- a/tools/udp_relay.cpp
+++ b/tools/udp_relay.cpp
@@ -6,11 +6,12 @@
 
 #include <algorithm>
 #include <stdexcept>
+#include <string>
 
 namespace aldersill::tools {
 namespace {
 
-constexpr int kPollMs = 50;  // also how long the end may take
+constexpr int kPollMs = 50;  // also the longest time that the destructor waits
 constexpr std::size_t kMaxDatagram = 65'536;
 
 }  // namespace
@@ -20,7 +21,8 @@
     Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     const sockaddr_in any = Loopback(0);
     if (bind(socket.fd(), reinterpret_cast<const sockaddr*>(&any), sizeof(any)) != 0)
-      throw std::runtime_error("cannot bind a relay's socket");
+      throw std::runtime_error("udp relay: cannot bind a loopback socket for member " +
+                               std::to_string(member));
     ports_.push_back(PortOf(socket));
     sockets_.push_back(std::move(socket));
   }
--- a/tools/udp_relay.h
+++ b/tools/udp_relay.h
@@ -1,5 +1,5 @@
-// Relays datagrams between cluster members on loopback, on a thread of its own, and can partition them. Each
-// member is reached at an endpoint of the relay, which forwards datagrams as if from the sender's endpoint.
+// Relays datagrams between cluster members on loopback and can cut links. The other members reach a member at
+// its endpoint of the relay; the relay forwards a datagram from the sender's endpoint. It runs in one thread.
 //
 // tests/fleet/datagram_links.h is its counterpart on an event loop, which can also lose and delay datagrams.
 #ifndef ALDERSILL_TOOLS_UDP_RELAY_H_
@@ -24,13 +24,14 @@
   explicit UdpRelay(int members);
   ~UdpRelay();
 
-  // Where `member` is reached.
+  // The port of the relay at which the other members reach `member`.
   std::uint16_t port(int member) const { return ports_[member]; }
-  // Where its process listens. Until then its datagrams, and those to it, are dropped.
+  // Sets the port on which the member's process listens. Until then all datagrams from and to it are dropped.
   void SetMemberPort(int member, std::uint16_t port);
-  // Drops all datagrams in that direction from now on.
+  // Drops all datagrams in that direction until HealAll().
   void Cut(int from, int to);
   void HealAll();
+  // Number of datagrams dropped so far.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/tools/virtual_cluster/cluster_scale.cpp
+++ b/tools/virtual_cluster/cluster_scale.cpp
@@ -1,5 +1,6 @@
-// What membership and shared probing cost and how fast they are, by size and loss, in virtual time. Prints a
-// table as Markdown (docs/duties.md holds one) and, if asked, the same as CSV.
+// Measures the network traffic and the reaction times of membership and shared probing in virtual time, for
+// several cluster sizes and packet loss rates. Prints a Markdown table (docs/duties.md holds one) and
+// optionally writes the same figures as CSV.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -17,123 +18,133 @@
 namespace aldersill::tools {
 namespace {
 
+// The results for one cluster size and loss rate. Rates per second unless noted otherwise.
 struct Row {
-  int instances = 0;
-  double loss = 0;
+  int members = 0;
+  double loss = 0;  // share of packets lost
+  // Health checks per worker: measured, and computed for members that do not share them.
   double probes_per_worker_s = 0, probes_unshared = 0;
-  double packets_s = 0, bytes_s = 0;            // sent by an instance, sealed
-  double bare_packets_s = 0, bare_bytes_s = 0;  // by membership alone
-  double detection_median_s = 0, detection_p99_s = 0;
-  double false_suspicions = 0;  // of a living member, as one other sees it, an hour
+  double packets_s = 0, bytes_s = 0;                        // sent per member; bytes include the seal
+  double membership_packets_s = 0, membership_bytes_s = 0;  // the same without shared probing
+  double detection_median_s = 0, detection_p99_s = 0;  // from a member's death until another declares it dead
+  // Per hour and per pair of an observing member and a living member that it wrongly suspects or declares
+  // dead.
+  double false_suspicions = 0;
   double false_deaths = 0;
+  // From a member's death until one of its workers is probed by another member, in seconds.
   double takeover_median_s = 0, takeover_worst_s = 0;
-  double wall_s = 0;
+  double wall_s = 0;  // real time that the measurement took, in seconds
 };
 
+// The q-quantile by the nearest-rank method; NaN without values.
 double Quantile(std::vector<double> values, double q) {
   if (values.empty())
     return NAN;
   std::sort(values.begin(), values.end());
-  const auto at = static_cast<std::size_t>(std::ceil(q * static_cast<double>(values.size())));
-  return values[std::clamp<std::size_t>(at, 1, values.size()) - 1];
+  const auto rank = static_cast<std::size_t>(std::ceil(q * static_cast<double>(values.size())));
+  return values[std::clamp<std::size_t>(rank, 1, values.size()) - 1];
 }
 
-struct Plan {
+struct Parameters {
   std::uint64_t seed = 1;
   int workers = 1'000;
-  int window_s = 60;
+  int window_s = 60;  // virtual seconds of the steady-state measurement
   int kills = 10;
-  Micros interval = 5 * kSecond;
+  Micros interval = 5 * kSecond;  // between the health checks of one worker
 };
 
-class Measure {
+// Measures one virtual cluster.
+class Measurement {
  public:
-  Measure(const Plan& plan, int instances, double loss, bool probing) : plan_(plan) {
-    VirtualCluster::Options o;
-    o.seed = plan.seed;
-    o.network.loss = loss;
-    o.workers = probing ? plan.workers : 0;
-    o.clocks_apart = 100 * kMillisecond;
-    o.through_bytes = false;
+  // Starts the cluster and waits until it has settled. `probing`: whether the members share health checks.
+  Measurement(const Parameters& parameters, int members, double loss, bool probing)
+      : parameters_(parameters) {
+    VirtualCluster::Options options;
+    options.seed = parameters.seed;
+    options.network.loss = loss;
+    options.workers = probing ? parameters.workers : 0;
+    options.max_clock_offset = 100 * kMillisecond;
+    options.decode_packets = false;
     if (probing)
-      o.settings.probing = duties::ProbeSettings{"", plan.interval, kSecond, 64};
-    cluster_ = std::make_unique<VirtualCluster>(o);
-    for (int i = 0; i < instances; ++i)
+      options.settings.probing = duties::ProbeSettings{"", parameters.interval, kSecond, 64};
+    cluster_ = std::make_unique<VirtualCluster>(options);
+    for (int i = 0; i < members; ++i)
       cluster_->Add();
-    // All within ten seconds, as after a deployment.
-    for (int i = 0; i < instances; ++i)
-      cluster_->At(i * (10 * kSecond / instances), [this, i] { cluster_->Begin(i); });
+    // All members start within ten seconds, as after a deployment.
+    for (int i = 0; i < members; ++i)
+      cluster_->ScheduleAt(i * (10 * kSecond / members), [this, i] { cluster_->Start(i); });
     settled_ = 40 * kSecond;
     cluster_->RunUntil(settled_);
   }
 
-  // What a window without troubles costs.
-  void Steady(Row* row, bool bare) {
+  // Measures traffic, probes and false reports in a time window without failures.
+  void MeasureSteadyState(Row* row, bool membership_only) {
     const int n = cluster_->size();
-    std::vector<VirtualCluster::Sent> before;
+    std::vector<VirtualCluster::Traffic> before;
     before.reserve(static_cast<std::size_t>(n));
     for (int i = 0; i < n; ++i)
-      before.push_back(cluster_->sent(i));
+      before.push_back(cluster_->traffic(i));
     std::uint64_t probes = 0, suspects = 0, deaths = 0;
     cluster_->on_probe = [&](int, const std::string&) { ++probes; };
-    cluster_->on_news = [&](int, const membership::MembershipChange& news) {
-      suspects += news.kind == membership::MembershipChange::Kind::kSuspect;
-      deaths += news.kind == membership::MembershipChange::Kind::kDead;
+    cluster_->on_membership_change = [&](int, const membership::MembershipChange& change) {
+      suspects += change.kind == membership::MembershipChange::Kind::kSuspect;
+      deaths += change.kind == membership::MembershipChange::Kind::kDead;
     };
-    cluster_->RunUntil(cluster_->now() + plan_.window_s * kSecond);
+    cluster_->RunUntil(cluster_->now() + parameters_.window_s * kSecond);
     cluster_->on_probe = nullptr;
-    cluster_->on_news = nullptr;
+    cluster_->on_membership_change = nullptr;
     double packets = 0, bytes = 0;
     for (int i = 0; i < n; ++i) {
-      const auto sent = static_cast<double>(cluster_->sent(i).packets - before[i].packets);
+      const auto sent = static_cast<double>(cluster_->traffic(i).packets - before[i].packets);
       packets += sent;
-      bytes +=
-          static_cast<double>(cluster_->sent(i).bytes - before[i].bytes) + sent * membership::kSealOverhead;
+      bytes += static_cast<double>(cluster_->traffic(i).bytes - before[i].bytes) +
+               sent * membership::kSealOverhead;
     }
-    const double each = 1.0 / (n * static_cast<double>(plan_.window_s));
-    (bare ? row->bare_packets_s : row->packets_s) = packets * each;
-    (bare ? row->bare_bytes_s : row->bytes_s) = bytes * each;
-    if (bare)
+    const double per_member_second = 1.0 / (n * static_cast<double>(parameters_.window_s));
+    (membership_only ? row->membership_packets_s : row->packets_s) = packets * per_member_second;
+    (membership_only ? row->membership_bytes_s : row->bytes_s) = bytes * per_member_second;
+    if (membership_only)
       return;
-    row->probes_per_worker_s = static_cast<double>(probes) / plan_.workers / plan_.window_s;
-    row->probes_unshared = n * 1e6 / static_cast<double>(plan_.interval);
-    const double pairs = static_cast<double>(n) * (n - 1) * plan_.window_s / 3'600.0;
-    row->false_suspicions = static_cast<double>(suspects) / pairs;
-    row->false_deaths = static_cast<double>(deaths) / pairs;
+    row->probes_per_worker_s = static_cast<double>(probes) / parameters_.workers / parameters_.window_s;
+    row->probes_unshared = n * 1e6 / static_cast<double>(parameters_.interval);
+    const double pair_hours = static_cast<double>(n) * (n - 1) * parameters_.window_s / 3'600.0;
+    row->false_suspicions = static_cast<double>(suspects) / pair_hours;
+    row->false_deaths = static_cast<double>(deaths) / pair_hours;
   }
 
-  // One dies, is found out, its workers are taken over; it comes back, and another dies.
-  void Deaths(Row* row) {
+  // Kills one member after another. Measures how soon the others declare it dead and take over its workers,
+  // then restarts it.
+  void MeasureFailures(Row* row) {
     std::vector<double> detections, takeovers;
-    for (int kill = 0; kill < plan_.kills; ++kill) {
+    for (int kill = 0; kill < parameters_.kills; ++kill) {
       const int victim = 1 + kill % (cluster_->size() - 1);
       const std::string name = cluster_->name(victim);
-      std::set<std::string> its;
-      for (int w = 0; w < plan_.workers; ++w) {
+      std::set<std::string> orphaned;
+      for (int w = 0; w < parameters_.workers; ++w) {
         const std::string worker = cluster_->WorkerName(w);
         if (cluster_->core(victim).probing()->OwnerOf(worker) == name)
-          its.insert(worker);
+          orphaned.insert(worker);
       }
-      const Micros died = cluster_->now();
-      std::set<int> knows;
-      cluster_->on_news = [&](int i, const membership::MembershipChange& news) {
-        if (news.member.name != name || news.kind != membership::MembershipChange::Kind::kDead)
+      const Micros killed_at = cluster_->now();
+      std::set<int> observers;
+      cluster_->on_membership_change = [&](int i, const membership::MembershipChange& change) {
+        if (change.member.name != name || change.kind != membership::MembershipChange::Kind::kDead)
           return;
-        if (knows.insert(i).second)
-          detections.push_back(static_cast<double>(cluster_->now() - died) / kSecond);
+        if (observers.insert(i).second)
+          detections.push_back(static_cast<double>(cluster_->now() - killed_at) / kSecond);
       };
       std::size_t taken = 0;
       cluster_->on_probe = [&](int, const std::string& worker) {
-        if (its.erase(worker) == 0)
+        if (orphaned.erase(worker) == 0)
           return;
         ++taken;
-        takeovers.push_back(static_cast<double>(cluster_->now() - died) / kSecond);
+        takeovers.push_back(static_cast<double>(cluster_->now() - killed_at) / kSecond);
       };
       cluster_->Kill(victim);
-      cluster_->RunUntil(died + 30 * kSecond);
-      cluster_->on_news = nullptr;
+      cluster_->RunUntil(killed_at + 30 * kSecond);
+      cluster_->on_membership_change = nullptr;
       cluster_->on_probe = nullptr;
-      cluster_->Begin(victim);
+      cluster_->Start(victim);
       cluster_->RunUntil(cluster_->now() + 10 * kSecond);
     }
     row->detection_median_s = Quantile(detections, 0.5);
@@ -143,21 +154,21 @@
   }
 
  private:
-  const Plan plan_;
+  const Parameters parameters_;
   std::unique_ptr<VirtualCluster> cluster_;
   Micros settled_ = 0;
 };
 
-Row Take(const Plan& plan, int instances, double loss) {
-  const auto began = std::chrono::steady_clock::now();
+Row MeasureRow(const Parameters& parameters, int members, double loss) {
+  const auto start = std::chrono::steady_clock::now();
   Row row;
-  row.instances = instances;
+  row.members = members;
   row.loss = loss;
-  Measure(plan, instances, loss, false).Steady(&row, true);
-  Measure measure(plan, instances, loss, true);
-  measure.Steady(&row, false);
-  measure.Deaths(&row);
-  row.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+  Measurement(parameters, members, loss, false).MeasureSteadyState(&row, true);
+  Measurement measurement(parameters, members, loss, true);
+  measurement.MeasureSteadyState(&row, false);
+  measurement.MeasureFailures(&row);
+  row.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   return row;
 }
 
@@ -167,17 +178,17 @@
 int main(int argc, char** argv) {
   using namespace aldersill::tools;
   CLI::App app("Measures membership and shared probing by size and loss, in virtual time.");
-  Plan plan;
+  Parameters parameters;
   std::vector<int> sizes{3, 10, 30, 100, 300};
   std::vector<double> losses{0.0, 0.05, 0.2};
   std::string csv;
-  app.add_option("--seed", plan.seed);
-  app.add_option("--workers", plan.workers);
-  app.add_option("--window-s", plan.window_s, "Virtual seconds of the quiet window");
-  app.add_option("--kills", plan.kills, "How many die, one after another");
+  app.add_option("--seed", parameters.seed, "Seed of the random numbers");
+  app.add_option("--workers", parameters.workers, "Number of workers");
+  app.add_option("--window-s", parameters.window_s, "Virtual seconds of the steady-state measurement");
+  app.add_option("--kills", parameters.kills, "Number of members killed, one after another");
   app.add_option("--sizes", sizes, "Instances")->delimiter(',');
   app.add_option("--losses", losses, "Shares of packets lost")->delimiter(',');
-  app.add_option("--csv", csv, "Writes the table there as well");
+  app.add_option("--csv", csv, "File to which the table is also written as CSV");
   CLI11_PARSE(app, argc, argv);
   std::printf(
       "| instances | loss | probes/s a worker (unshared) | packets/s, KB/s an instance | of these membership "
@@ -194,17 +205,17 @@
   }
   for (const double loss : losses) {
     for (const int size : sizes) {
-      const Row r = Take(plan, size, loss);
+      const Row r = MeasureRow(parameters, size, loss);
       std::printf(
           "| %d | %.0f %% | %.3f (%.1f) | %.1f, %.2f | %.1f, %.2f | %.2f, %.2f | %.2f, %.2f | %.1f, %.2f |\n",
-          r.instances, r.loss * 100, r.probes_per_worker_s, r.probes_unshared, r.packets_s, r.bytes_s / 1'000,
-          r.bare_packets_s, r.bare_bytes_s / 1'000, r.detection_median_s, r.detection_p99_s,
+          r.members, r.loss * 100, r.probes_per_worker_s, r.probes_unshared, r.packets_s, r.bytes_s / 1'000,
+          r.membership_packets_s, r.membership_bytes_s / 1'000, r.detection_median_s, r.detection_p99_s,
           r.takeover_median_s, r.takeover_worst_s, r.false_suspicions, r.false_deaths);
       std::fflush(stdout);
       if (out.is_open()) {
-        out << r.instances << ',' << r.loss << ',' << r.probes_per_worker_s << ',' << r.probes_unshared << ','
-            << r.packets_s << ',' << r.bytes_s << ',' << r.bare_packets_s << ',' << r.bare_bytes_s << ','
-            << r.detection_median_s << ',' << r.detection_p99_s << ',' << r.takeover_median_s << ','
+        out << r.members << ',' << r.loss << ',' << r.probes_per_worker_s << ',' << r.probes_unshared << ','
+            << r.packets_s << ',' << r.bytes_s << ',' << r.membership_packets_s << ',' << r.membership_bytes_s
+            << ',' << r.detection_median_s << ',' << r.detection_p99_s << ',' << r.takeover_median_s << ','
             << r.takeover_worst_s << ',' << r.false_suspicions << ',' << r.false_deaths << ',' << r.wall_s
             << std::endl;
       }
--- a/tools/virtual_cluster/virtual_cluster.cpp
+++ b/tools/virtual_cluster/virtual_cluster.cpp
@@ -10,92 +10,96 @@
 namespace aldersill::tools {
 namespace {
 
-// Unix time at which runs begin: epochs and stamps are to look as they do outside.
-constexpr Micros kBegin = 1'700'000'000 * kSecond;
-// What a socket holds for a process that stands still.
-constexpr std::size_t kSocketHolds = 256;
+// Unix time at the start of a run, so that epochs and stamps have realistic values.
+constexpr Micros kStartTime = 1'700'000'000 * kSecond;
+// Packets and probe results that are kept for a paused process, as in a socket buffer; the rest is dropped.
+constexpr std::size_t kSocketBufferPackets = 256;
 
 }  // namespace
 
-VirtualCluster::VirtualCluster(Options options) : o_(std::move(options)), random_(o_.seed, 1) {}
+VirtualCluster::VirtualCluster(Options options) : options_(std::move(options)), random_(options_.seed, 1) {}
 
 int VirtualCluster::Add() {
   const int i = size();
-  Instance instance;
-  instance.name = "n" + std::to_string(i);
-  instance.address = "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7946";
-  pcg32 own(o_.seed, 1'000 + static_cast<std::uint64_t>(i));
-  instance.rate = 1.0 + o_.drift * (static_cast<double>(own()) / 2147483648.0 - 1.0);
-  if (o_.clocks_apart > 0)
-    instance.ahead = own(static_cast<std::uint32_t>(o_.clocks_apart));
-  by_address_[instance.address] = i;
-  instances_.push_back(std::move(instance));
+  Member member;
+  member.name = "n" + std::to_string(i);
+  member.address = "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7946";
+  pcg32 member_random(options_.seed, 1'000 + static_cast<std::uint64_t>(i));
+  member.clock_rate =
+      1.0 + options_.max_clock_drift * (static_cast<double>(member_random()) / 2147483648.0 - 1.0);
+  if (options_.max_clock_offset > 0)
+    member.clock_offset = member_random(static_cast<std::uint32_t>(options_.max_clock_offset));
+  by_address_[member.address] = i;
+  members_.push_back(std::move(member));
   return i;
 }
 
 Micros VirtualCluster::LocalTime(int i) const {
-  const Instance& instance = instances_[i];
-  return kBegin + instance.ahead + static_cast<Micros>(static_cast<double>(now_) * instance.rate);
+  const Member& member = members_[i];
+  return kStartTime + member.clock_offset +
+         static_cast<Micros>(static_cast<double>(now_) * member.clock_rate);
 }
 
 std::string VirtualCluster::WorkerName(int worker) const { return "w" + std::to_string(worker); }
 
-void VirtualCluster::Begin(int i) {
-  Instance& instance = instances_[i];
-  cluster::Settings s = o_.settings;
-  s.membership.name = instance.name;
-  s.membership.address = instance.address;
-  s.membership.join = {instances_[0].address};
+void VirtualCluster::Start(int i) {
+  Member& member = members_[i];
+  cluster::Settings settings = options_.settings;
+  settings.membership.name = member.name;
+  settings.membership.address = member.address;
+  settings.membership.join = {members_[0].address};
   if (size() > 1)
-    s.membership.join.push_back(instances_[1].address);
-  if (s.probing)
-    s.probing->name = instance.name;
-  ++instance.life;
-  instance.paused = false;
-  instance.held.clear();
-  const std::uint64_t seed = o_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + instance.life;
-  instance.core = std::make_unique<cluster::Cluster>(std::move(s), seed);
+    settings.membership.join.push_back(members_[1].address);
+  if (settings.probing)
+    settings.probing->name = member.name;
+  ++member.generation;
+  member.paused = false;
+  member.received_while_paused.clear();
+  const std::uint64_t seed =
+      options_.seed * 1'000'003 + static_cast<std::uint64_t>(i) * 101 + member.generation;
+  member.core = std::make_unique<cluster::Cluster>(std::move(settings), seed);
   cluster::WorkersChanged workers;
-  for (int w = 0; w < o_.workers; ++w)
+  for (int w = 0; w < options_.workers; ++w)
     workers.workers.emplace_back(WorkerName(w), "10.9.0.1:80");
-  Tell(i, cluster::Started{static_cast<std::uint64_t>(LocalTime(i) / kMillisecond)});
-  if (o_.workers > 0)
-    Tell(i, std::move(workers));
+  HandleEvent(i, cluster::Started{static_cast<std::uint64_t>(LocalTime(i) / kMillisecond)});
+  if (options_.workers > 0)
+    HandleEvent(i, std::move(workers));
 }
 
 void VirtualCluster::Kill(int i) {
-  instances_[i].core.reset();
-  ++instances_[i].life;
-  instances_[i].paused = false;
-  instances_[i].held.clear();
+  members_[i].core.reset();
+  ++members_[i].generation;
+  members_[i].paused = false;
+  members_[i].received_while_paused.clear();
 }
 
 void VirtualCluster::Restart(int i) {
   Kill(i);
-  Begin(i);
+  Start(i);
 }
 
-void VirtualCluster::Pause(int i) { instances_[i].paused = instances_[i].core != nullptr; }
+void VirtualCluster::Pause(int i) { members_[i].paused = members_[i].core != nullptr; }
 
 void VirtualCluster::Resume(int i) {
-  Instance& instance = instances_[i];
-  if (!std::exchange(instance.paused, false))
+  Member& member = members_[i];
+  if (!std::exchange(member.paused, false))
     return;
-  // Its timers are long overdue, and its sockets full: the loop may serve either first.
+  // Its timer is overdue and its sockets have data. A real event loop may serve either first.
   const bool timers_first = random_(2) == 0;
   if (timers_first)
-    Tell(i, cluster::TimerExpired{});
-  for (std::deque<What> held = std::exchange(instance.held, {}); !held.empty(); held.pop_front())
-    Deliver(i, held.front());
+    HandleEvent(i, cluster::TimerExpired{});
+  for (std::deque<Occurrence> received = std::exchange(member.received_while_paused, {}); !received.empty();
+       received.pop_front())
+    Deliver(i, received.front());
   if (!timers_first)
-    Tell(i, cluster::TimerExpired{});
+    HandleEvent(i, cluster::TimerExpired{});
 }
 
-void VirtualCluster::Leave(int i) { Tell(i, cluster::LeaveRequested{}); }
+void VirtualCluster::Leave(int i) { HandleEvent(i, cluster::LeaveRequested{}); }
 
 void VirtualCluster::Cut(int from, int to) { cuts_.insert({from, to}); }
 
-void VirtualCluster::Split(const std::set<int>& side) {
+void VirtualCluster::Partition(const std::set<int>& side) {
   for (int a = 0; a < size(); ++a) {
     for (int b = 0; b < size(); ++b) {
       if (side.contains(a) != side.contains(b))
@@ -104,76 +108,80 @@
   }
 }
 
-void VirtualCluster::Mend() { cuts_.clear(); }
+void VirtualCluster::HealAll() { cuts_.clear(); }
 
-void VirtualCluster::At(Micros time, std::function<void()> what) { Push(time, -1, Script{std::move(what)}); }
+void VirtualCluster::ScheduleAt(Micros time, std::function<void()> action) {
+  Push(time, -1, ScheduledAction{std::move(action)});
+}
 
-void VirtualCluster::Push(Micros at, int instance, What what) {
-  queue_.push(
-      Item{at, next_number_++, instance, instance < 0 ? 0 : instances_[instance].life, std::move(what)});
+void VirtualCluster::Push(Micros at, int member, Occurrence occurrence) {
+  queue_.push(QueueEntry{at, next_number_++, member, member < 0 ? 0 : members_[member].generation,
+                         std::move(occurrence)});
 }
 
 void VirtualCluster::RunUntil(Micros time) {
   while (!queue_.empty() && queue_.top().at <= time) {
-    const Item item = queue_.top();
+    const QueueEntry entry = queue_.top();
     queue_.pop();
-    now_ = std::max(now_, item.at);
-    if (const auto* script = std::get_if<Script>(&item.what)) {
-      script->what();
+    now_ = std::max(now_, entry.at);
+    if (const auto* action = std::get_if<ScheduledAction>(&entry.occurrence)) {
+      action->run();
       continue;
     }
-    Instance& instance = instances_[item.instance];
-    if (instance.core == nullptr || instance.life != item.life) {
-      // A packet finds whoever listens there now; timers and answers are of the life that asked.
-      if (instance.core == nullptr || !std::holds_alternative<Arrives>(item.what))
+    Member& member = members_[entry.member];
+    if (member.core == nullptr || member.generation != entry.generation) {
+      // A packet reaches whichever process listens at the address now. Timers and probe results belong to the
+      // process that started them.
+      if (member.core == nullptr || !std::holds_alternative<PacketArrival>(entry.occurrence))
         continue;
     }
-    if (instance.paused) {
-      if (!std::holds_alternative<TimerRings>(item.what) && instance.held.size() < kSocketHolds)
-        instance.held.push_back(item.what);
+    if (member.paused) {
+      if (!std::holds_alternative<TimerExpiry>(entry.occurrence) &&
+          member.received_while_paused.size() < kSocketBufferPackets)
+        member.received_while_paused.push_back(entry.occurrence);
       continue;
     }
-    Deliver(item.instance, item.what);
+    Deliver(entry.member, entry.occurrence);
   }
   now_ = std::max(now_, time);
 }
 
-void VirtualCluster::Deliver(int i, const What& what) {
-  if (const auto* rings = std::get_if<TimerRings>(&what)) {
-    if (rings->setting != instances_[i].setting)
+void VirtualCluster::Deliver(int i, const Occurrence& occurrence) {
+  if (const auto* expiry = std::get_if<TimerExpiry>(&occurrence)) {
+    if (expiry->timer_id != members_[i].timer_id)
       return;
-    instances_[i].rings = 0;
-    return Tell(i, cluster::TimerExpired{});
+    members_[i].timer_due = 0;
+    return HandleEvent(i, cluster::TimerExpired{});
   }
-  if (const auto* arrives = std::get_if<Arrives>(&what)) {
-    if (!o_.through_bytes)
-      return Tell(i, cluster::PacketReceived{arrives->address, *arrives->packet});
-    auto packet = membership::Decode(*arrives->bytes);
+  if (const auto* arrival = std::get_if<PacketArrival>(&occurrence)) {
+    if (!options_.decode_packets)
+      return HandleEvent(i, cluster::PacketReceived{arrival->address, *arrival->packet});
+    auto packet = membership::Decode(*arrival->bytes);
     if (!packet)
-      throw std::logic_error("a packet does not decode");
-    return Tell(i, cluster::PacketReceived{arrives->address, std::move(*packet)});
+      throw std::logic_error("virtual cluster: a packet sent by a member cannot be decoded");
+    return HandleEvent(i, cluster::PacketReceived{arrival->address, std::move(*packet)});
   }
-  const auto& answers = std::get<Answers>(what);
+  const auto& completion = std::get<ProbeCompletion>(occurrence);
   LoadReport report;
   report.free_slots = 3.0;
-  Tell(i, cluster::ProbeCompleted{answers.number, Outcome::kServed, answers.elapsed, report});
+  HandleEvent(i, cluster::ProbeCompleted{completion.number, Outcome::kServed, completion.elapsed, report});
 }
 
-void VirtualCluster::Tell(int i, cluster::Event event) {
-  if (instances_[i].core == nullptr)
+void VirtualCluster::HandleEvent(int i, cluster::Event event) {
+  if (members_[i].core == nullptr)
     return;
   std::vector<cluster::Effect> effects;
-  instances_[i].core->Handle(LocalTime(i), std::move(event), &effects);
+  members_[i].core->Handle(LocalTime(i), std::move(event), &effects);
   for (cluster::Effect& effect : effects) {
     if (on_effect)
       on_effect(i, effect);
     if (auto* send = std::get_if<cluster::SendPacket>(&effect)) {
-      Do(i, std::move(*send));
+      Perform(i, std::move(*send));
     } else if (auto* probe = std::get_if<cluster::StartProbe>(&effect)) {
-      Do(i, std::move(*probe));
-    } else if (const auto* news = std::get_if<membership::MembershipChange>(&effect)) {
-      if (on_news)
-        on_news(i, *news);
+      Perform(i, std::move(*probe));
+    } else if (const auto* change = std::get_if<membership::MembershipChange>(&effect)) {
+      if (on_membership_change)
+        on_membership_change(i, *change);
     } else if (const auto* lease = std::get_if<cluster::LeaseChange>(&effect)) {
       if (on_lease)
         on_lease(i, *lease);
@@ -185,50 +193,52 @@
 }
 
 void VirtualCluster::SetTimer(int i) {
-  Instance& instance = instances_[i];
-  const Micros due = instance.core->next_due();
+  Member& member = members_[i];
+  const Micros due = member.core->next_due();
   if (due == INT64_MAX)
     return;
   const Micros wait = std::max<Micros>(0, due - LocalTime(i));
-  const Micros rings = now_ + static_cast<Micros>(static_cast<double>(wait) / instance.rate) + 1;
-  // One that rings sooner may stand: the core then finds nothing due and is asked again.
-  if (instance.rings != 0 && instance.rings <= rings && instance.rings > now_)
+  const Micros timer_due = now_ + static_cast<Micros>(static_cast<double>(wait) / member.clock_rate) + 1;
+  // An earlier timer can stay: when it expires, nothing is due, and the timer is set again.
+  if (member.timer_due != 0 && member.timer_due <= timer_due && member.timer_due > now_)
     return;
-  instance.rings = rings;
-  Push(rings, i, TimerRings{++instance.setting});
+  member.timer_due = timer_due;
+  Push(timer_due, i, TimerExpiry{++member.timer_id});
 }
 
-Micros VirtualCluster::Delay() {
-  const Network& n = o_.network;
-  const auto draw = [this](Micros least, Micros most) {
-    return least + random_(static_cast<std::uint32_t>(std::max<Micros>(1, most - least)));
+Micros VirtualCluster::DrawDelay() {
+  const Network& network = options_.network;
+  const auto draw = [this](Micros min, Micros max) {
+    return min + random_(static_cast<std::uint32_t>(std::max<Micros>(1, max - min)));
   };
-  return Chance(n.slow) ? draw(n.delay_least, n.slow_most) : draw(n.delay_least, n.delay_most);
-}
-
-void VirtualCluster::Do(int i, cluster::SendPacket&& e) {
-  auto bytes = std::make_shared<const std::string>(membership::Encode(e.packet));
-  Sent& sent = instances_[i].sent;
-  ++sent.packets;
-  sent.bytes += bytes->size();
-  sent.longest = std::max(sent.longest, bytes->size());
-  if (bytes->size() > o_.settings.membership.max_packet_bytes)
-    throw std::logic_error("a packet is over its bound");
-  const auto to = by_address_.find(e.address);
+  return Chance(network.slow_share) ? draw(network.min_delay, network.max_slow_delay)
+                                    : draw(network.min_delay, network.max_delay);
+}
+
+void VirtualCluster::Perform(int i, cluster::SendPacket&& send) {
+  auto bytes = std::make_shared<const std::string>(membership::Encode(send.packet));
+  Traffic& traffic = members_[i].traffic;
+  ++traffic.packets;
+  traffic.bytes += bytes->size();
+  traffic.longest_packet = std::max(traffic.longest_packet, bytes->size());
+  if (bytes->size() > options_.settings.membership.max_packet_bytes)
+    throw std::logic_error("virtual cluster: a member sent a packet of " + std::to_string(bytes->size()) +
+                           " bytes, above max_packet_bytes");
+  const auto to = by_address_.find(send.address);
   if (to == by_address_.end() || cuts_.contains({i, to->second}))
     return;
   const auto packet =
-      o_.through_bytes ? nullptr : std::make_shared<const membership::Packet>(std::move(e.packet));
-  const int copies = (Chance(o_.network.loss) ? 0 : 1) + (Chance(o_.network.doubled) ? 1 : 0);
+      options_.decode_packets ? nullptr : std::make_shared<const membership::Packet>(std::move(send.packet));
+  const int copies = (Chance(options_.network.loss) ? 0 : 1) + (Chance(options_.network.duplication) ? 1 : 0);
   for (int copy = 0; copy < copies; ++copy)
-    Push(now_ + Delay(), to->second, Arrives{instances_[i].address, packet, bytes});
+    Push(now_ + DrawDelay(), to->second, PacketArrival{members_[i].address, packet, bytes});
 }
 
-void VirtualCluster::Do(int i, cluster::StartProbe&& e) {
+void VirtualCluster::Perform(int i, cluster::StartProbe&& probe) {
   if (on_probe)
-    on_probe(i, e.worker);
-  const Micros took = 500 + random_(5'000);
-  Push(now_ + took, i, Answers{e.number, took});
+    on_probe(i, probe.worker);
+  const Micros elapsed = 500 + random_(5'000);
+  Push(now_ + elapsed, i, ProbeCompletion{probe.number, elapsed});
 }
 
 }  // namespace aldersill::tools
