--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -15,6 +15,7 @@
 namespace aldersill {
 namespace {
 
+// Blocks or unblocks one signal. `how` is SIG_BLOCK or SIG_UNBLOCK.
 void ChangeSignalMask(int how, int number) {
   sigset_t signals;
   sigemptyset(&signals);
@@ -22,10 +23,12 @@
   sigprocmask(how, &signals, nullptr);
 }
 
+// Runs the daemon until it ends. Prints the error if it fails.
 ExitStatus Serve() {
-  signal(SIGPIPE, SIG_IGN);  // a write to a closed connection reports the error instead
-  // A reload that is requested during the start waits until the daemon handles the signal. Where the start
-  // fails it stays blocked, so that the error is still printed.
+  // A write to a closed connection then fails with an error instead of a signal.
+  signal(SIGPIPE, SIG_IGN);
+  // SIGHUP is blocked until the daemon handles it, so that a reload requested during the start is not lost.
+  // If the start fails, it stays blocked, so that it cannot end the program before the error is printed.
   ChangeSignalMask(SIG_BLOCK, SIGHUP);
   try {
     Daemon daemon(ReadConfig());
@@ -38,7 +41,7 @@
   }
 }
 
-// The sub-commands and their options. Owns what the parser writes to.
+// The sub-commands and their options. Owns the variables into which the parser writes.
 class CommandLine {
  public:
   CommandLine() {
@@ -55,7 +58,7 @@
 
   // Throws CLI::ParseError for an invalid command line, and for --help and --version.
   void Parse(int argc, char** argv) { app_.parse(argc, argv); }
-  // Prints what `error` asks for.
+  // Prints the help, the version or the error message that `error` stands for.
   ExitStatus Report(const CLI::ParseError& error) const { return app_.exit(error) == 0 ? kDone : kUsage; }
 
   ExitStatus Run() const {
--- a/src/cli/config_commands.cpp
+++ b/src/cli/config_commands.cpp
@@ -10,22 +10,22 @@
 namespace aldersill {
 namespace {
 
-// The platform's file is a JSON object with "settings" or "discovery"; any other file is taken for the
-// operator's.
+// Returns whether the file is a JSON object with "settings" or "discovery". Any other file is read as the
+// operator's file.
 bool IsPlatformFile(const std::string& path) {
   std::ifstream file(path);
   const nlohmann::json json = nlohmann::json::parse(file, nullptr, /*allow_exceptions=*/false);
   return json.is_object() && (json.contains("settings") || json.contains("discovery"));
 }
 
-// Throws ConfigError if the file is not valid.
+// Reads the file and prints its kind and its unknown fields. Throws ConfigError if the file is not valid.
 void CheckFile(const std::string& path) {
   if (!IsPlatformFile(path)) {
     static_cast<void>(ReadOperatorFile(path));
     std::printf("%s: good, as the operator's settings\n", path.c_str());
     return;
   }
-  const std::vector<std::string> unknown_fields = ReadPlatformFile(path).unknown;
+  const std::vector<std::string> unknown_fields = ReadPlatformFile(path).unknown_fields;
   std::printf("%s: good, as the platform's configuration\n", path.c_str());
   for (const std::string& field : unknown_fields)
     std::printf("%s: not read: %s\n", path.c_str(), field.c_str());
--- a/src/cli/config_commands.h
+++ b/src/cli/config_commands.h
@@ -9,10 +9,11 @@
 
 namespace aldersill {
 
-// Reads each file as the daemon would and prints whether it is valid. kFailed if any is not.
+// Reads each file as the daemon does and prints whether it is valid. Returns kFailed if any file is invalid.
 ExitStatus CheckConfig(const std::vector<std::string>& files);
 
-// Prints the operator's settings that a daemon started here would use, with their defaults.
+// Prints the operator's settings, defaults included, that a daemon started in this directory and environment
+// uses. Returns kFailed if they cannot be read.
 ExitStatus PrintConfig();
 
 }  // namespace aldersill
--- a/src/cli/exit_status.h
+++ b/src/cli/exit_status.h
@@ -6,11 +6,11 @@
 
 namespace aldersill {
 
-// Published in --help and docs/cli.md.
+// --help and docs/cli.md document these values.
 enum ExitStatus : int {
   kDone = 0,
-  kFailed = 1,       // the command could not be carried out: a bad configuration, an address that is taken
-  kUsage = 2,        // an invalid command line
+  kFailed = 1,       // failure, such as an invalid configuration or an address in use
+  kUsage = 2,        // invalid command line
   kUnreachable = 3,  // no running process answers at the control socket
 };
 
--- a/src/cli/query_commands.cpp
+++ b/src/cli/query_commands.cpp
@@ -20,6 +20,8 @@
   using std::runtime_error::runtime_error;
 };
 
+// Returns the path of the control socket, from the options or the operator's file. Throws ConfigError if
+// neither gives one.
 std::string SocketPath(const QueryOptions& options) {
   std::string path = options.socket;
   if (path.empty()) {
@@ -32,7 +34,8 @@
   return path;
 }
 
-// Throws ConfigError if no socket is set, and other exceptions if the dispatcher does not answer.
+// Returns the dispatcher's answer. Throws ConfigError if no socket is set, and Unreachable if the dispatcher
+// does not answer or its answer is not JSON.
 Json QueryDispatcher(const QueryOptions& options, const std::string& query) {
   const std::string path = SocketPath(options);
   try {
@@ -45,11 +48,11 @@
   }
 }
 
-unsigned long long Count(const Json& object, const char* key) {
+unsigned long long CountField(const Json& object, const char* key) {
   return object.at(key).get<unsigned long long>();
 }
 
-std::string Text(const Json& object, const char* key) { return object.at(key).get<std::string>(); }
+std::string TextField(const Json& object, const char* key) { return object.at(key).get<std::string>(); }
 
 void PrintMembersTable(const Json& answer) {
   if (!answer.at("enabled").get<bool>()) {
@@ -58,9 +61,10 @@
   }
   std::printf("%-24s %-8s %-22s %7s  %s\n", "NAME", "STATE", "ADDRESS", "WEIGHT", "SINCE (UNIX MS)");
   for (const Json& member : answer.at("members")) {
-    std::printf("%-24s %-8s %-22s %7llu  %llu%s\n", Text(member, "name").c_str(),
-                Text(member, "state").c_str(), Text(member, "address").c_str(), Count(member, "weight"),
-                Count(member, "epoch"), member.at("self").get<bool>() ? "  (this one)" : "");
+    std::printf("%-24s %-8s %-22s %7llu  %llu%s\n", TextField(member, "name").c_str(),
+                TextField(member, "state").c_str(), TextField(member, "address").c_str(),
+                CountField(member, "weight"), CountField(member, "epoch"),
+                member.at("self").get<bool>() ? "  (this one)" : "");
   }
 }
 
@@ -70,18 +74,18 @@
     return;
   }
   std::printf("probing: owns %llu of %llu workers; %llu probes, %llu takeovers, %llu results heard\n",
-              Count(probing, "owned"), Count(probing, "workers"), Count(probing, "started"),
-              Count(probing, "takeovers"), Count(probing, "heard"));
+              CountField(probing, "owned"), CountField(probing, "workers"), CountField(probing, "started"),
+              CountField(probing, "takeovers"), CountField(probing, "heard"));
 }
 
 void PrintExclusiveDuty(const Json& duty) {
   std::string state = "not held here";
   if (duty.at("held").get<bool>())
-    state = "held here, term " + std::to_string(Count(duty, "term"));
-  const std::string holder = Text(duty, "holder");
+    state = "held here, term " + std::to_string(CountField(duty, "term"));
+  const std::string holder = TextField(duty, "holder");
   if (!holder.empty())
     state += ", holder as told: " + holder;
-  std::printf("%s: %s\n", Text(duty, "duty").c_str(), state.c_str());
+  std::printf("%s: %s\n", TextField(duty, "duty").c_str(), state.c_str());
 }
 
 void PrintDutiesList(const Json& answer) {
@@ -94,7 +98,7 @@
     PrintExclusiveDuty(duty);
 }
 
-// Queries and prints the answer, by `print` or as JSON.
+// Queries the dispatcher and prints the answer with `print`, or as JSON if the options ask for it.
 ExitStatus Run(const QueryOptions& options, const char* query, void (*print)(const Json& answer)) {
   Json answer;
   try {
--- a/src/cli/query_commands.h
+++ b/src/cli/query_commands.h
@@ -9,14 +9,14 @@
 namespace aldersill {
 
 struct QueryOptions {
-  std::string socket;  // the control socket's path; empty for the one in the operator's file
-  bool json = false;   // print the answer as it is received
+  std::string socket;  // path of the control socket; if empty, the one in the operator's file
+  bool json = false;   // whether to print the answer as JSON
 };
 
-// Prints the members of the cluster that the dispatcher knows.
+// Prints the cluster members that the dispatcher knows.
 ExitStatus PrintMembers(const QueryOptions& options);
 
-// Prints the dispatcher's part in the duties that the members share.
+// Prints which of the members' shared duties the dispatcher has.
 ExitStatus PrintDuties(const QueryOptions& options);
 
 }  // namespace aldersill
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -35,7 +35,7 @@
   Config config =
       ReadPlatformConfig(ParsePlatformFile(path, "GW_CONFIG"), before, EnvironmentOverrides::kApplied);
   if (const std::string operator_file = OperatorFilePath(); !operator_file.empty())
-    config.own = ReadOperatorFile(operator_file);
+    config.operator_settings = ReadOperatorFile(operator_file);
   return config;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// The daemon's configuration: GW_* variables, the platform's file and the operator's own file.
+// The daemon's configuration, which is read from the GW_* environment variables, the platform's file and the
+// operator's file.
 #ifndef ALDERSILL_SRC_CONFIG_CONFIG_H_
 #define ALDERSILL_SRC_CONFIG_CONFIG_H_
 
@@ -16,46 +17,46 @@
 
 namespace aldersill {
 
-// The configuration of the daemon. Times are in microseconds.
+// Times are in microseconds.
 struct Config {
   std::string name;
   Endpoint listen;
   std::optional<Endpoint> discovery;
-  std::optional<Endpoint> mgmt;  // where operators' calls are served
+  std::optional<Endpoint> mgmt;  // management address, which serves operators' commands; nullopt if off
   std::uint64_t seed = 0;
   int sockets = 1024;
   int memory_mb = 128;
-  std::vector<WorkerEndpoint> known;
+  std::vector<WorkerEndpoint> known_workers;
   std::uint64_t known_version = 0;
   dispatch::Settings module;
-  std::string module_text;  // `module` as written in the file: shows whether a reload changes it
+  std::string module_text;  // serialized JSON of `module`, compared on a reload to detect a change
   Micros dial_timeout = 250 * kMillisecond;
-  OperatorSettings own;  // the operator's own file
-  // Fields of the platform's file that its pages do not name, each with the name that may be meant. They are
-  // ignored.
-  std::vector<std::string> unknown;
-  // The paths of all fields of the platform's file (platform_fields.h).
-  std::set<std::string> fields;
-  // The values in the file of the fields that a variable may override.
-  struct Written {
+  OperatorSettings operator_settings;  // content of the operator's file
+  // Fields of the platform's file that its documentation does not define, each with the most similar known
+  // name if there is one. They are ignored.
+  std::vector<std::string> unknown_fields;
+  // Paths of all fields in the platform's file (platform_fields.h).
+  std::set<std::string> field_paths;
+  // The values that the platform's file gives for the fields that an environment variable can override.
+  struct FileValues {
     std::string name;
     std::string listen;
     std::string discovery;
     std::string mgmt;
-  } written;
+  } file_values;
 };
 
-// Reads the environment and the files that it names. `before`: the configuration read last; null at the
-// start. A variable cannot change while the program runs, so a field that the file has changed since
-// overrides it. Throws ConfigError.
+// Reads the environment and the files that it names. `before` is the configuration that was read last, null
+// at the start. Environment variables do not change while the program runs, so on a reload a field that has
+// changed in the file takes precedence over its variable. Throws ConfigError.
 Config ReadConfig(const Config* before = nullptr);
 
-// Reads the platform's file alone, without the environment, as check-config does. Throws ConfigError.
+// Reads only the platform's file and ignores the environment, as check-config requires. Throws ConfigError.
 Config ReadPlatformFile(const std::string& path);
 
-// The path of the operator's file: ALDERSILL_SETTINGS, else ALDERSILL_FRONTS (its former name), else
-// deploy/aldersill.yaml or deploy/fronts.json if there is one, else empty. Throws ConfigError if both are
-// set.
+// Returns the path of the operator's file: the value of ALDERSILL_SETTINGS, else of ALDERSILL_FRONTS (the
+// variable's former name), else deploy/aldersill.yaml or deploy/fronts.json if one exists, else an empty
+// string. Throws ConfigError if both variables are set.
 std::string OperatorFilePath();
 
 }  // namespace aldersill
--- a/src/config/dispatch_settings_reader.cpp
+++ b/src/config/dispatch_settings_reader.cpp
@@ -9,7 +9,7 @@
 namespace aldersill {
 namespace {
 
-// Item `index` of a list that may be shorter, in which case its last item applies. Nullopt for an empty list.
+// Returns item `index` of the list, the last item if the list is shorter, or nullopt if it is empty.
 std::optional<JsonField> ItemOrLast(const JsonField& list, std::size_t index) {
   const std::vector<JsonField> items = list.Items();
   if (items.empty())
@@ -24,7 +24,8 @@
   return names;
 }
 
-// What may be repeated, and for how long and where a key is known.
+// Reads whether requests of the class may be repeated, and the time window and scope in which an idempotency
+// key is recognized.
 void ReadIdempotency(const JsonField& field, dispatch::ClassSettings* settings) {
   using dispatch::KeyScope;
   using dispatch::Repeat;
@@ -40,7 +41,7 @@
                            {{"all", KeyScope::kAll}, {"zone", KeyScope::kZone}, {"cell", KeyScope::kCell}});
 }
 
-// Settings that are given for all classes in lists by class index.
+// Reads the settings that `familyInfo` gives as lists indexed by class.
 void ReadFamilyInfo(const JsonField& family, std::size_t index, int kind_count,
                     dispatch::ClassSettings* settings) {
   if (const auto kind = ItemOrLast(family["classKind"], index)) {
@@ -54,7 +55,8 @@
     settings->stretch = stretch->NonNegative(0.0);
 }
 
-// What defines a class is required: a default would hold its requests to the rules of another class.
+// The fields that define a class are required, because a default would apply the rules of another class to
+// its requests.
 dispatch::ClassSettings ReadClass(const JsonField& field, const JsonField& family, std::size_t index,
                                   int kind_count) {
   dispatch::ClassSettings settings;
@@ -102,7 +104,7 @@
     field["tenants"].ThrowBadValue("must hold a share between them");
 }
 
-// Where this dispatcher is, and how many there are.
+// Reads the zone of this dispatcher and the total number of dispatchers.
 void ReadPlacement(const JsonField& field, dispatch::Settings* settings) {
   settings->zones = ReadNames(field["zones"]);
   settings->zone = field["locality"].Text("");
@@ -117,8 +119,8 @@
 }
 
 void ReadDiscovery(const JsonField& field, dispatch::Settings* settings) {
-  // Subscribing is the default: a service that is polled as an agent would be is overloaded, while the
-  // reverse is only slow.
+  // Subscribing is the default: polling a discovery service at the rate meant for a local agent overloads it,
+  // whereas subscribing to an agent is only slower.
   settings->subscribe =
       ReadChoice<bool>(field["discovery"], "subscribe", {{"automatic", false}, {"subscribe", true}});
   settings->reports_start = field["familyInfo"]["tellsStart"].Bool(settings->reports_start);
@@ -132,8 +134,8 @@
       {{"silent", Reports::kNone}, {"piggyback", Reports::kWithAnswers}, {"pull", Reports::kProbesOnly}});
 }
 
-// The value is not used. It is checked because an unknown word means that the weights in discovery's list
-// have another meaning.
+// Checks `weights`, whose value is not used otherwise. An unknown value would mean that the weights in the
+// endpoint list have a meaning that this program does not know.
 void CheckWeights(const JsonField& field) {
   enum class Weights { kSilent, kNominal, kRough, kLive };
   ReadChoice<Weights>(field["weights"], "silent",
--- a/src/config/dispatch_settings_reader.h
+++ b/src/config/dispatch_settings_reader.h
@@ -1,4 +1,4 @@
-// Reading of the dispatch module's settings: the object `settings` of the platform's file.
+// Reads the dispatch module's settings from the object `settings` of the platform's file.
 #ifndef ALDERSILL_SRC_CONFIG_DISPATCH_SETTINGS_READER_H_
 #define ALDERSILL_SRC_CONFIG_DISPATCH_SETTINGS_READER_H_
 
@@ -7,7 +7,7 @@
 
 namespace aldersill {
 
-// Throws MissingField or BadValue.
+// Reads all settings from `field`, with defaults for absent optional fields. Throws MissingField or BadValue.
 dispatch::Settings ReadDispatchSettings(const JsonField& field);
 
 }  // namespace aldersill
--- a/src/config/environment.h
+++ b/src/config/environment.h
@@ -1,4 +1,4 @@
-// Environment variables.
+// Access to environment variables.
 #ifndef ALDERSILL_SRC_CONFIG_ENVIRONMENT_H_
 #define ALDERSILL_SRC_CONFIG_ENVIRONMENT_H_
 
@@ -7,7 +7,7 @@
 
 namespace aldersill {
 
-// The variable's value; `fallback` if it is not set or empty.
+// Returns the variable's value, or `fallback` if it is unset or empty.
 inline std::string ReadEnvironment(const char* name, const std::string& fallback) {
   const char* value = std::getenv(name);
   return value != nullptr && *value != '\0' ? value : fallback;
--- a/src/config/errors.h
+++ b/src/config/errors.h
@@ -1,4 +1,4 @@
-// Errors of configuration: each names the field at fault and what an operator can do about it.
+// Configuration errors. Each message names the invalid field and what the operator can do about it.
 #ifndef ALDERSILL_SRC_CONFIG_ERRORS_H_
 #define ALDERSILL_SRC_CONFIG_ERRORS_H_
 
@@ -8,14 +8,15 @@
 
 namespace aldersill {
 
-// what() is one line for the operator: the field at fault and, if known, what is accepted.
+// Base class of the configuration errors. what() is one line for the operator, with the invalid field and, if
+// known, the accepted values.
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(const std::string& message) : ConfigError("bad_configuration", "", message) {}
 
-  // The kind of error in one published word.
+  // A stable identifier of the kind of error.
   const char* code() const { return code_; }
-  // The path of the field at fault; empty if the error is not a field's.
+  // The path of the invalid field; empty if the error does not concern a single field.
   const std::string& path() const { return path_; }
 
  protected:
@@ -27,28 +28,28 @@
   std::string path_;
 };
 
-// A file could not be opened or read completely; the next try may succeed.
+// A file could not be opened or read completely. A retry may succeed.
 class UnreadableFile : public ConfigError {
  public:
   explicit UnreadableFile(const std::string& message) : ConfigError("unreadable_file", "", message) {}
 };
 
-// A required field is not there.
+// A required field is absent.
 class MissingField : public ConfigError {
  public:
   MissingField(std::string path, const std::string& message)
       : ConfigError("missing_field", std::move(path), message) {}
 };
 
-// The operator's file has a field that does not exist. Unknown fields of the platform's file are no error:
-// the platform may add fields, which are logged.
+// The operator's file has a field that does not exist. Unknown fields of the platform's file are logged and
+// are not errors, because the platform may add fields.
 class UnknownField : public ConfigError {
  public:
   UnknownField(std::string path, const std::string& message)
       : ConfigError("unknown_field", std::move(path), message) {}
 };
 
-// A field's value is of the wrong type or out of range.
+// A field's value has the wrong type or is out of range.
 class BadValue : public ConfigError {
  public:
   BadValue(std::string path, const std::string& message)
--- a/src/config/file_reader.cpp
+++ b/src/config/file_reader.cpp
@@ -35,7 +35,8 @@
 std::string ReadFile(const std::string& path, const std::string& error, std::size_t max_bytes) {
   const UniqueDescriptor file = OpenForReading(path, error);
   std::string text;
-  // In blocks: a buffer of the maximum size would cost its pages at each start and SIGHUP.
+  // The file is read in blocks, because a buffer of the maximum size would touch all its pages at each start
+  // and SIGHUP.
   std::array<char, kBlockBytes> block{};
   for (;;) {
     const ssize_t size = read(file.get(), block.data(), block.size());
--- a/src/config/file_reader.h
+++ b/src/config/file_reader.h
@@ -1,4 +1,4 @@
-// Reads whole configuration files.
+// Reads complete configuration files.
 #ifndef ALDERSILL_SRC_CONFIG_FILE_READER_H_
 #define ALDERSILL_SRC_CONFIG_FILE_READER_H_
 
@@ -7,12 +7,13 @@
 
 namespace aldersill {
 
-// The file's bytes. Throws UnreadableFile if it cannot be opened or read completely, with `error` and, unless
-// there is no such file, the system's reason; reads no more than `max_bytes` and one block.
+// Returns the content of the file. Stops within one block (4 KiB) after `max_bytes`, so that the caller can
+// detect a file that is too long. Throws UnreadableFile if the file cannot be opened or read; the message is
+// `error`, followed by the system's reason unless the file does not exist.
 std::string ReadFile(const std::string& path, const std::string& error, std::size_t max_bytes);
 
-// Whether there is no such file. One that cannot be looked at counts as there, so that reading it reports
-// why.
+// Returns whether the file does not exist. A file whose status cannot be read counts as existing, so that a
+// later read reports the reason.
 bool IsMissingFile(const std::string& path);
 
 }  // namespace aldersill
--- a/src/config/json_field.cpp
+++ b/src/config/json_field.cpp
@@ -8,7 +8,8 @@
 namespace aldersill {
 namespace {
 
-constexpr double kMaxInteger = 9e15;  // below 2^53, where every integer is a double
+// Below 2^53, up to which a double represents every integer exactly.
+constexpr double kMaxInteger = 9e15;
 
 }  // namespace
 
--- a/src/config/near_name.h
+++ b/src/config/near_name.h
@@ -1,4 +1,4 @@
-// Suggestions for misspelt names.
+// Suggests known names for misspelt ones.
 #ifndef ALDERSILL_SRC_CONFIG_NEAR_NAME_H_
 #define ALDERSILL_SRC_CONFIG_NEAR_NAME_H_
 
@@ -10,7 +10,7 @@
 
 namespace aldersill {
 
-// The Levenshtein distance of two words.
+// Returns the Levenshtein distance of two words.
 inline std::size_t EditDistance(const std::string& left, const std::string& right) {
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -26,14 +26,15 @@
   return row.back();
 }
 
-// The known name nearest to `name`; empty if none is near. Two letters or a third of them may differ, or the
-// end of the known name may be missing.
+// Returns the known name most similar to `name`, or an empty string if none is similar. A known name is
+// similar if the edit distance is at most two, or a third of the length of `name` if that is more, or if
+// `name` is a prefix of it.
 template <typename Names>
 std::string NearName(const std::string& name, const Names& names) {
   std::string near;
   std::size_t limit = std::max<std::size_t>(2, name.size() / 3) + 1;
   for (const std::string& known : names) {
-    const bool is_prefix = name.size() >= 3 && known.starts_with(name);  // such as "warn"
+    const bool is_prefix = name.size() >= 3 && known.starts_with(name);  // for example "warn"
     const std::size_t distance = is_prefix ? 1 : EditDistance(name, known);
     if (distance >= limit || distance >= known.size())
       continue;
@@ -43,9 +44,9 @@
   return near;
 }
 
-// The names, separated by commas.
+// Returns the names, separated by commas.
 template <typename Names>
-std::string Listed(const Names& names) {
+std::string JoinNames(const Names& names) {
   std::string list;
   for (const std::string& name : names)
     list += (list.empty() ? "" : ", ") + name;
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -24,7 +24,7 @@
   try {
     const YAML::Node root = YAML::Load(text);
     if (!root.IsDefined() || root.IsNull())
-      return settings;  // an empty file: all defaults
+      return settings;  // An empty file selects all defaults.
     YamlSectionReader reader(root, "", name_in_errors);
     Describe(reader, settings);
     reader.Finish();
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,4 +1,4 @@
-// The operator's own file: YAML (and so JSON), read and checked as a whole, or printed with its defaults.
+// Reads and prints the operator's settings file, which is YAML and therefore may also be JSON.
 #ifndef ALDERSILL_SRC_CONFIG_OPERATOR_FILE_H_
 #define ALDERSILL_SRC_CONFIG_OPERATOR_FILE_H_
 
@@ -8,14 +8,13 @@
 
 namespace aldersill {
 
-// Reads a file of at most 1 MiB, or a text. Throws MissingField, UnknownField, BadValue or another
-// ConfigError (config/errors.h): one line, `FILE:LINE: PATH problem`.
+// Reads and checks a file of at most 1 MiB, or a text. Throws MissingField, UnknownField, BadValue or another
+// ConfigError (config/errors.h), whose message is one line of the form `FILE:LINE: PATH problem`.
 OperatorSettings ReadOperatorFile(const std::string& path);
 OperatorSettings ParseOperatorText(const std::string& text, const std::string& name_in_errors);
 
-// All fields, with their defaults where the file leaves them out, as YAML that reads back to the same
-// settings. The settings hold no secrets: keys are in files of their own, of which only the paths are
-// settings.
+// Returns all settings, defaults included, as YAML that parses to the same settings. The output holds no
+// secrets, because keys are in separate files and the settings hold only the paths.
 std::string PrintOperatorSettings(OperatorSettings settings);
 
 }  // namespace aldersill
--- a/src/config/operator_schema.h
+++ b/src/config/operator_schema.h
@@ -1,4 +1,5 @@
-// The schema of the operator's file: every field once, with its limits, for reading and for printing.
+// The schema of the operator's file. It lists every field once, with its limits, and serves both reading and
+// printing.
 //
 // Describe(visitor, settings) calls one function of the visitor for each field, in the order of the file. A
 // visitor is a YamlSectionReader or a YamlSectionPrinter.
@@ -16,10 +17,10 @@
 
 namespace aldersill {
 
-// Which addresses a field accepts.
+// The addresses that a field accepts.
 enum class AddressScope { kLoopback, kAny };
 
-// A word of the file and the value it stands for.
+// A keyword in the file and the value that it stands for.
 template <typename T>
 struct NamedValue {
   const char* name;
@@ -29,12 +30,12 @@
 template <typename Visitor>
 void Describe(Visitor& visitor, FaktorySettings& settings) {
   visitor.Bool("enabled", settings.enabled);
-  // Loopback only, as for SNMP: neither protocol authenticates its peers.
+  // Faktory and SNMP accept only loopback addresses, because neither protocol authenticates its peers.
   visitor.Address("listen", settings.listen, AddressScope::kLoopback);
   visitor.Milliseconds("fetch_wait_ms", settings.fetch_wait, 1, 600'000);
   visitor.Milliseconds("fetch_patience_ms", settings.fetch_timeout, 1, 600'000);
-  visitor.Milliseconds("worker_silence_ms", settings.worker_silence, 1, 86'400'000);
-  visitor.Milliseconds("worker_return_ms", settings.worker_return, 1, 600'000);
+  visitor.Milliseconds("worker_silence_ms", settings.worker_heartbeat_timeout, 1, 86'400'000);
+  visitor.Milliseconds("worker_return_ms", settings.worker_reconnect_timeout, 1, 600'000);
 }
 
 template <typename Visitor>
@@ -93,7 +94,7 @@
 void Describe(Visitor& visitor, MembershipSettings& settings) {
   membership::Settings& core = settings.core;
   visitor.Bool("enabled", settings.enabled);
-  visitor.Address("listen", settings.listen, AddressScope::kAny);  // each datagram is authenticated
+  visitor.Address("listen", settings.listen, AddressScope::kAny);  // Each datagram is authenticated.
   visitor.Text("advertise", settings.advertise);
   visitor.Check(settings.advertise.empty() || ParseEndpoint(settings.advertise).has_value(), "advertise",
                 "must be address:port, not '" + settings.advertise + "'");
@@ -136,7 +137,7 @@
                     settings.exclusive.size(),
                 "exclusive", "must name each duty once");
   visitor.Milliseconds("lease_ms", settings.lease, 1'000, 3'600'000);
-  visitor.Double("most_drift", settings.most_drift, 0.0, 0.2);
+  visitor.Double("most_drift", settings.max_clock_drift, 0.0, 0.2);
 }
 
 template <typename Visitor>
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,4 +1,5 @@
-// The operator's settings with their defaults. operator_schema.h names every field and its limits.
+// The operator's settings with their defaults. operator_schema.h defines the fields of the file and their
+// limits.
 #ifndef ALDERSILL_SRC_CONFIG_OPERATOR_SETTINGS_H_
 #define ALDERSILL_SRC_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -16,10 +17,10 @@
 struct FaktorySettings {
   bool enabled = false;
   Endpoint listen{"127.0.0.1", 7419};
-  Micros fetch_wait = 2 * kSecond;       // how long a FETCH may wait before it gets null
-  Micros fetch_timeout = 1 * kSecond;    // how long an attempt waits for a FETCH
-  Micros worker_silence = 60 * kSecond;  // a worker that sends nothing for this long is lost
-  Micros worker_return = kSecond;        // and so is one without a connection for this long
+  Micros fetch_wait = 2 * kSecond;                 // time until a FETCH without a job gets null
+  Micros fetch_timeout = 1 * kSecond;              // time that an attempt waits for a FETCH
+  Micros worker_heartbeat_timeout = 60 * kSecond;  // A worker that sends nothing for this long is lost.
+  Micros worker_reconnect_timeout = kSecond;       // A worker without a connection for this long is lost.
   bool operator==(const FaktorySettings&) const = default;
 };
 
@@ -31,25 +32,25 @@
 
 struct MembershipSettings {
   bool enabled = false;
-  Endpoint listen{"127.0.0.1", 7946};  // UDP
-  std::string advertise;               // the address that other members use; empty: `listen`
-  std::string key_file;                // in the format of membership/sealer.h
+  Endpoint listen{"127.0.0.1", 7946};  // UDP address
+  std::string advertise;               // address that other members use; if empty, `listen`
+  std::string key_file;                // path; membership/sealer.h describes the format
   membership::Settings core;
   bool operator==(const MembershipSettings&) const = default;
 };
 
 struct DutiesSettings {
-  bool probing = false;  // each worker is probed by one member, which reports to the others
+  bool probing = false;  // if true, one member probes each worker and reports to the others
   duties::ProbeSettings probes;
   std::vector<std::string> exclusive;  // duties that at most one member holds at a time
   std::vector<std::string> voters;     // names of the members that grant the leases
-  Micros lease = 10 * kSecond;
-  double most_drift = 0.01;  // maximum drift of a clock, as a share of its rate
+  Micros lease = 10 * kSecond;         // duration of a lease
+  double max_clock_drift = 0.01;       // maximum drift of a clock, as a share of its rate
   bool operator==(const DutiesSettings&) const = default;
 };
 
 struct ControlSettings {
-  std::string socket;  // path of a Unix socket; empty: none
+  std::string socket;  // path of a Unix socket; empty if there is none
 };
 
 struct OperatorSettings {
--- a/src/config/platform_fields.cpp
+++ b/src/config/platform_fields.cpp
@@ -45,7 +45,8 @@
     {"settings.tenants[].", {"name", "quotaPerS", "share"}},
 };
 
-// Every field that the platform's pages name, whether it is read or not, so that misspelt fields are found.
+// Returns the paths of all fields that the platform's documentation defines, including those that this
+// program does not read, so that misspelt fields are found.
 const std::set<std::string>& PlatformFields() {
   static const std::set<std::string> all_fields = [] {
     std::set<std::string> fields;
@@ -58,7 +59,7 @@
   return all_fields;
 }
 
-// The names of the fields directly below `prefix`, which ends with a dot or is empty.
+// Returns the names of the fields directly below `prefix`, which ends with a dot or is empty.
 std::vector<std::string> NamesBelow(const std::string& prefix) {
   std::vector<std::string> names;
   const std::set<std::string>& fields = PlatformFields();
@@ -81,7 +82,7 @@
   const std::string prefix = path.empty() ? "" : path + ".";
   const std::vector<std::string> known_names = NamesBelow(prefix);
   if (known_names.empty())
-    return;  // the pages do not say what this object holds
+    return;  // The documentation does not define the fields of this object.
   for (const auto& [name, value] : json.items()) {
     if (PlatformFields().contains(prefix + name)) {
       CollectUnknown(value, prefix + name, unknown);
@@ -132,7 +133,8 @@
   return {};
 }
 
-// Fields that come and go in valid files: the known workers, and what only classes with keys need.
+// Returns whether valid files may add and remove the field: the known workers, and the fields that only
+// classes with idempotency keys need.
 bool IsOptionalOnReload(const std::string& field) {
   return field.starts_with("known") || field.starts_with("settings.grades[].dedup");
 }
@@ -154,7 +156,7 @@
     if (now.fields.contains(field) || in_empty_list || IsOptionalOnReload(field))
       continue;
     throw MissingField(field,
-                       field + " is missing: the file read before has it; to do without it, start anew");
+                       field + " is missing: the file read before has it; restart the program to remove it");
   }
 }
 
--- a/src/config/platform_fields.h
+++ b/src/config/platform_fields.h
@@ -1,4 +1,4 @@
-// The fields of the platform's file: which ones its pages name, and which ones a file has.
+// The fields of the platform's file: those that its documentation defines, and those that a given file has.
 #ifndef ALDERSILL_SRC_CONFIG_PLATFORM_FIELDS_H_
 #define ALDERSILL_SRC_CONFIG_PLATFORM_FIELDS_H_
 
@@ -9,19 +9,20 @@
 
 namespace aldersill {
 
-// Fields that the platform's pages do not name, sorted, each with the known name that may be meant: `path
-// (name?)`. Items of a list are written as [].
+// Returns the fields of the file that the platform's documentation does not define, sorted. A field that is
+// similar to a known one has the form `path (name?)`. A path denotes the items of a list by [].
 std::vector<std::string> FindUnknownFields(const nlohmann::json& file);
 
-// The fields that a file has, by path. Of a list, the fields that every item has, as `path[].name`.
+// The paths of the fields that a file has. For a list they are the fields that every item has, as
+// `path[].name`.
 struct FieldPaths {
   std::set<std::string> fields;
-  std::set<std::string> empty_lists;  // as `path[]`: nothing is known of the fields of their items
+  std::set<std::string> empty_lists;  // as `path[]`; the fields of their items are unknown
 };
 FieldPaths FieldPathsOf(const nlohmann::json& file);
 
-// Throws MissingField if a field of the file read before is not in the one read now, which means that the new
-// file is truncated. Exempt are fields that may come and go.
+// Throws MissingField if the present file lacks a field of the file that was read before, which suggests that
+// the new file is truncated. Fields that valid files may add and remove are exempt.
 void RequireFieldsOf(const std::set<std::string>& before, const FieldPaths& now);
 
 }  // namespace aldersill
--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -42,22 +42,24 @@
   return endpoint ? ToText(*endpoint) : "";
 }
 
-// Resolves the fields that a variable may override. A variable cannot change while the program runs: on a
-// reload a field that the file has changed since is used instead, and otherwise the value in force is kept.
+// Resolves the fields that an environment variable can override. Variables do not change while the program
+// runs, so on a reload a value that has changed in the file takes effect, and otherwise the value in force is
+// kept.
 class OverridableFields {
  public:
   OverridableFields(const Config* before, EnvironmentOverrides overrides)
       : before_(before), overrides_(overrides) {}
 
-  // `written`: what the file says now. `written_before`, `in_force`: what it said and what applied when it
-  // was last read; ignored at the start.
-  std::string Resolve(const char* variable, const std::string& written, const std::string& written_before,
+  // Returns the value that applies. `in_file` is the file's present value, `previous_in_file` its value when
+  // the file was last read, and `in_force` the value that has applied since then. The last two are ignored at
+  // the start.
+  std::string Resolve(const char* variable, const std::string& in_file, const std::string& previous_in_file,
                       const std::string& in_force) const {
     if (overrides_ == EnvironmentOverrides::kIgnored)
-      return written;
+      return in_file;
     if (before_ == nullptr)
-      return ReadEnvironment(variable, written);
-    return written.empty() || written == written_before ? in_force : written;
+      return ReadEnvironment(variable, in_file);
+    return in_file.empty() || in_file == previous_in_file ? in_force : in_file;
   }
 
  private:
@@ -70,20 +72,20 @@
   const Config start;
   const Config& last = before != nullptr ? *before : start;
   const OverridableFields fields(before, overrides);
-  Config::Written& written = config->written;
-  written = {root["name"].Text("aldersill"), root["listen"].Text(""), root["discovery"].Text(""),
+  Config::FileValues& in_file = config->file_values;
+  in_file = {root["name"].Text("aldersill"), root["listen"].Text(""), root["discovery"].Text(""),
              root["mgmt"].Text("")};
-  config->name = fields.Resolve("GW_NAME", written.name, last.written.name, last.name);
+  config->name = fields.Resolve("GW_NAME", in_file.name, last.file_values.name, last.name);
   const std::string listen =
-      fields.Resolve("GW_LISTEN", written.listen, last.written.listen, ToText(last.listen));
+      fields.Resolve("GW_LISTEN", in_file.listen, last.file_values.listen, ToText(last.listen));
   if (listen.empty())
     root["listen"].ThrowMissing("address:port, here or in GW_LISTEN");
   config->listen = ToEndpoint(listen, "listen");
-  const std::string discovery = fields.Resolve("GW_DISCOVERY", written.discovery, last.written.discovery,
+  const std::string discovery = fields.Resolve("GW_DISCOVERY", in_file.discovery, last.file_values.discovery,
                                                ToTextOrEmpty(last.discovery));
   config->discovery = ToOptionalEndpoint(discovery, "discovery");
   const std::string mgmt =
-      fields.Resolve("GW_MGMT", written.mgmt, last.written.mgmt, ToTextOrEmpty(last.mgmt));
+      fields.Resolve("GW_MGMT", in_file.mgmt, last.file_values.mgmt, ToTextOrEmpty(last.mgmt));
   config->mgmt = ToOptionalEndpoint(mgmt, "mgmt");
 }
 
@@ -101,7 +103,7 @@
     return;
   try {
     EndpointListMessage message = DecodeEndpointList(known.json());
-    config->known = std::move(message.workers);
+    config->known_workers = std::move(message.workers);
     config->known_version = message.version;
   } catch (const BadMessage& error) {
     known.ThrowBadValue(error.what());
@@ -114,7 +116,7 @@
   config->module = ReadDispatchSettings(settings);
   config->module_text = settings.json().dump();
   try {
-    const dispatch::Dispatcher probe(config->module, 0);  // its constructor checks the settings
+    const dispatch::Dispatcher validator(config->module, 0);  // The constructor checks the settings.
   } catch (const std::invalid_argument& error) {
     throw ConfigError(std::string("settings: ") + error.what());
   }
@@ -128,14 +130,14 @@
   if (text.size() > kMaxFileBytes)
     throw ConfigError(name_in_errors + ": " + path + " is longer than 64 MiB");
   Json json;
-  std::string last_key;  // of the value being parsed
-  const auto note_key = [&last_key](int, Json::parse_event_t event, Json& parsed) {
+  std::string last_key;  // key of the value being parsed
+  const auto record_key = [&last_key](int, Json::parse_event_t event, Json& parsed) {
     if (event == Json::parse_event_t::key)
       last_key = parsed.get<std::string>();
     return true;
   };
   try {
-    json = Json::parse(text, note_key);
+    json = Json::parse(text, record_key);
   } catch (const Json::out_of_range&) {
     throw BadValue(last_key, last_key + " is a number out of range in " + path);
   } catch (const Json::exception&) {
@@ -157,9 +159,9 @@
   ReadSettings(root["settings"], &config);
   FieldPaths paths = FieldPathsOf(file);
   if (before != nullptr)
-    RequireFieldsOf(before->fields, paths);
-  config.fields = std::move(paths.fields);
-  config.unknown = FindUnknownFields(file);
+    RequireFieldsOf(before->field_paths, paths);
+  config.field_paths = std::move(paths.fields);
+  config.unknown_fields = FindUnknownFields(file);
   return config;
 }
 
--- a/src/config/yaml_section_printer.h
+++ b/src/config/yaml_section_printer.h
@@ -1,4 +1,4 @@
-// Printing of typed settings as one section of a YAML file.
+// Prints typed settings as one section of a YAML file.
 #ifndef ALDERSILL_SRC_CONFIG_YAML_SECTION_PRINTER_H_
 #define ALDERSILL_SRC_CONFIG_YAML_SECTION_PRINTER_H_
 
@@ -17,7 +17,7 @@
 // A visitor of the schema (operator_schema.h) that prints every field and ignores limits and checks.
 class YamlSectionPrinter {
  public:
-  // `out` must outlive the printer and be within a map.
+  // `out` must outlive the printer and must be inside a map.
   explicit YamlSectionPrinter(YAML::Emitter* out) : out_(*out) {}
 
   void Bool(const char* name, const bool& value) { Put(name, value); }
--- a/src/config/yaml_section_reader.cpp
+++ b/src/config/yaml_section_reader.cpp
@@ -11,7 +11,7 @@
 
 std::string KeyOf(const YAML::Node& node) { return node.IsScalar() ? node.Scalar() : "?"; }
 
-// Without trailing zeros.
+// Formats a number without trailing zeros.
 std::string FormatDouble(double value) {
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
@@ -20,7 +20,7 @@
   return text;
 }
 
-// A suggestion to be appended to an error; empty if no name is near.
+// Returns a suggestion to append to an error message; empty if no name is similar.
 template <typename Names>
 std::string Suggest(const std::string& given, const Names& names) {
   const std::string near = NearName(given, names);
@@ -127,7 +127,7 @@
     const std::string suggestion = Suggest(key, known_);
     throw UnknownField(PathOf(key), PositionOf(entry.first) + PathOf(key) + " is unknown" +
                                         (suggestion.empty() ? "." : suggestion) +
-                                        " Accepted: " + Listed(known_));
+                                        " Accepted: " + JoinNames(known_));
   }
 }
 
@@ -147,7 +147,7 @@
 void YamlSectionReader::ThrowNotAChoice(const YAML::Node& node, const char* name,
                                         const std::vector<std::string>& accepted) const {
   const std::string given = node.IsScalar() ? node.Scalar() : "";
-  ThrowBadValue(node, PathOf(name), "must be one of " + Listed(accepted) + Suggest(given, accepted));
+  ThrowBadValue(node, PathOf(name), "must be one of " + JoinNames(accepted) + Suggest(given, accepted));
 }
 
 YAML::Node YamlSectionReader::Take(const char* name) {
--- a/src/config/yaml_section_reader.h
+++ b/src/config/yaml_section_reader.h
@@ -1,4 +1,4 @@
-// Reading of one section of a YAML file into typed settings, with all checks.
+// Reads and checks one section of a YAML file into typed settings.
 #ifndef ALDERSILL_SRC_CONFIG_YAML_SECTION_READER_H_
 #define ALDERSILL_SRC_CONFIG_YAML_SECTION_READER_H_
 
@@ -17,12 +17,12 @@
 
 namespace aldersill {
 
-// A visitor of the schema (operator_schema.h). A field that is left out or null keeps its value. Errors are
-// MissingField, UnknownField and BadValue, and name file, line and path.
+// A visitor of the schema (operator_schema.h) that reads each field. An absent or null field keeps its value.
+// Errors are MissingField, UnknownField and BadValue; their messages name file, line and path.
 class YamlSectionReader {
  public:
-  // `path`: of the section; empty for the whole file. `file`: its name in errors; must outlive the reader.
-  // Throws BadValue if `map` is no map or has a field twice.
+  // `path` is the path of the section, empty for the whole file. `file` is the file's name in error messages
+  // and must outlive the reader. Throws BadValue if `map` is not a map or has a field twice.
   YamlSectionReader(const YAML::Node& map, std::string path, const std::string& file);
 
   void Bool(const char* name, bool& value);
@@ -38,12 +38,13 @@
   template <typename T>
   void Section(const char* name, T& settings);
 
-  // Throws BadValue unless `holds`: fields that contradict each other, of which `name` is the one to change.
+  // Throws BadValue unless `holds`. Used for fields that contradict each other; `name` is the field to
+  // change.
   void Check(bool holds, const char* name, const std::string& problem);
-  // Throws MissingField unless `holds`: other fields make `name` required.
+  // Throws MissingField unless `holds`. Used where other fields make the field `name` required.
   void Require(bool holds, const char* name, const std::string& problem);
 
-  // Throws UnknownField if the section has a field that was not read. Call last.
+  // Throws UnknownField if the section has a field that was not read. Must be called last.
   void Finish();
 
  private:
@@ -53,7 +54,7 @@
                                   const std::string& problem) const;
   [[noreturn]] void ThrowNotAChoice(const YAML::Node& node, const char* name,
                                     const std::vector<std::string>& accepted) const;
-  // The field's node, undefined if it is left out or null. Marks the field as known.
+  // Returns the field's node, undefined if the field is absent or null. Marks the field as known.
   YAML::Node Take(const char* name);
   // Decodes a scalar; throws BadValue with `problem` if `decode` returns false.
   void ReadScalar(const char* name, const std::function<bool(const YAML::Node&)>& decode,
--- a/src/daemon/cluster_component.cpp
+++ b/src/daemon/cluster_component.cpp
@@ -27,17 +27,17 @@
 
 cluster::Settings ClusterSettingsFrom(const Config& config, const std::string& advertised_address) {
   cluster::Settings settings;
-  settings.membership = config.own.membership.core;
+  settings.membership = config.operator_settings.membership.core;
   settings.membership.name = config.name;
   settings.membership.address = advertised_address;
-  if (config.own.duties.probing) {
-    settings.probing = config.own.duties.probes;
+  if (config.operator_settings.duties.probing) {
+    settings.probing = config.operator_settings.duties.probes;
     settings.probing->name = config.name;
   }
-  settings.exclusive = config.own.duties.exclusive;
-  settings.voters = config.own.duties.voters;
-  settings.lease = config.own.duties.lease;
-  settings.max_clock_drift = config.own.duties.most_drift;
+  settings.exclusive = config.operator_settings.duties.exclusive;
+  settings.voters = config.operator_settings.duties.voters;
+  settings.lease = config.operator_settings.duties.lease;
+  settings.max_clock_drift = config.operator_settings.duties.max_clock_drift;
   return settings;
 }
 
@@ -55,8 +55,8 @@
         workers_timer_(context.base, [this] { PostWorkersIfChanged(); }) {}
 
   void Start(const Config& config) override {
-    membership_ = config.own.membership;
-    duties_ = config.own.duties;
+    membership_ = config.operator_settings.membership;
+    duties_ = config.operator_settings.duties;
     RegisterQueries();
     RegisterSnmpObjects();
     if (!membership_.enabled)
@@ -84,9 +84,9 @@
   // Rejects changes of the membership, the duties and the name. Only the keys in the key file can change
   // while the program runs.
   void PrepareReload(const Config& next) override {
-    if (!(next.own.membership == membership_))
+    if (!(next.operator_settings.membership == membership_))
       throw ConfigError("membership cannot change while the program runs");
-    if (!(next.own.duties == duties_))
+    if (!(next.operator_settings.duties == duties_))
       throw ConfigError("duties cannot change while the program runs");
     if (core_ != nullptr && next.name != core_->members().settings().name)
       throw ConfigError(
--- a/src/daemon/control_component.cpp
+++ b/src/daemon/control_component.cpp
@@ -16,18 +16,18 @@
   explicit ControlComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& config) override {
-    path_ = config.own.control.socket;
+    path_ = config.operator_settings.control.socket;
     server_ = MakeServer(path_);
   }
   void PrepareReload(const Config& next) override {
-    if (next.own.control.socket != path_)
-      prepared_server_ = MakeServer(next.own.control.socket);
+    if (next.operator_settings.control.socket != path_)
+      prepared_server_ = MakeServer(next.operator_settings.control.socket);
   }
   void CancelReload() override { prepared_server_.reset(); }
   void ApplyReload(const Config& config) override {
-    if (config.own.control.socket == path_)
+    if (config.operator_settings.control.socket == path_)
       return;
-    path_ = config.own.control.socket;
+    path_ = config.operator_settings.control.socket;
     server_ = std::move(prepared_server_);
   }
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,7 +33,7 @@
   settings.seed = config.seed;
   settings.has_discovery = config.discovery.has_value();
   settings.dial_timeout = config.dial_timeout;
-  settings.fetch_timeout = config.own.faktory.fetch_timeout;
+  settings.fetch_timeout = config.operator_settings.faktory.fetch_timeout;
   return settings;
 }
 
@@ -53,13 +53,13 @@
 // Logs unknown fields instead of rejecting them, because the platform may add fields of its own. An unknown
 // field may also be a misspelt known one.
 void LogUnknownFields(const Config& config) {
-  if (config.unknown.empty())
+  if (config.unknown_fields.empty())
     return;
   std::string fields;
-  for (const std::string& field : config.unknown)
+  for (const std::string& field : config.unknown_fields)
     fields += (fields.empty() ? "" : ", ") + field;
   Log(LogLevel::kWarning, "configuration_unknown_fields",
-      {{"count", config.unknown.size()}, {"fields", fields}});
+      {{"count", config.unknown_fields.size()}, {"fields", fields}});
 }
 
 }  // namespace
@@ -70,7 +70,7 @@
       reducer_(CoreSettingsFrom(config_)),
       // Now() is Unix time, because endpoint lists give workers' start times in Unix time.
       clock_offset_(UnixNow() - SteadyNow()) {
-  SetUpLog(config_.own.logging);
+  SetUpLog(config_.operator_settings.logging);
   LogUnknownFields(config_);
   StartComponents();
   WatchSignals();
@@ -78,10 +78,10 @@
   reload_timer_ = std::make_unique<Timer>(base_.get(), [this] { TryReload(); });
   Post(EndpointListUpdate{.form = EndpointListUpdate::Form::kCached,
                           .source = WorkerEndpoint::Source::kDiscovery,
-                          .workers = config_.known});
+                          .workers = config_.known_workers});
   for (const auto& component : components_)
     component->OnAllStarted();
-  Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"cached_workers", config_.known.size()}});
+  Log(LogLevel::kInfo, "serving", {{"name", config_.name}, {"cached_workers", config_.known_workers.size()}});
 }
 
 Daemon::~Daemon() = default;
@@ -247,7 +247,7 @@
   CoreSettings core_settings = CoreSettingsFrom(next);
   core_settings.dispatcher_changed = next.module_text != config_.module_text;
   config_ = std::move(next);
-  SetUpLog(config_.own.logging);
+  SetUpLog(config_.operator_settings.logging);
   LogUnknownFields(config_);
   for (const auto& component : components_)
     component->ApplyReload(config_);
--- a/src/daemon/descriptor_shares.cpp
+++ b/src/daemon/descriptor_shares.cpp
@@ -12,7 +12,7 @@
 DescriptorShares DivideDescriptors(const Config& config) {
   const int available = config.sockets - kReservedForDaemon - kMaxAdminConnections;
   DescriptorShares shares;
-  shares.faktory_sessions = config.own.faktory.enabled ? available / 4 : 0;
+  shares.faktory_sessions = config.operator_settings.faktory.enabled ? available / 4 : 0;
   shares.http_clients = (available - shares.faktory_sessions) / 2;
   shares.http_workers = shares.http_clients;
   return shares;
--- a/src/daemon/discovery_watcher.cpp
+++ b/src/daemon/discovery_watcher.cpp
@@ -40,7 +40,7 @@
 // `now`: the daemon's clock, in which the list gives start times. The scheduler uses the steady clock.
 WatchScheduler MakeSchedulerAtStart(const Config& config, Micros now) {
   const Micros steady_now = SteadyNow();
-  const Micros cached_list_age = now - CachedListTime(config.known, now);
+  const Micros cached_list_age = now - CachedListTime(config.known_workers, now);
   WatchScheduler scheduler = MakeScheduler(config);
   scheduler.StartWithCachedList(steady_now, steady_now - cached_list_age);
   return scheduler;
--- a/src/daemon/faktory_component.cpp
+++ b/src/daemon/faktory_component.cpp
@@ -14,11 +14,11 @@
 
 faktory::FrontendSettings FrontendSettingsFrom(const Config& config) {
   faktory::FrontendSettings settings;
-  settings.listen = config.own.faktory.listen;
-  settings.fetch_wait = config.own.faktory.fetch_wait;
-  settings.silence = config.own.faktory.worker_silence;
-  settings.return_within = config.own.faktory.worker_return;
-  settings.most_connections = DivideDescriptors(config).faktory_sessions;
+  settings.listen = config.operator_settings.faktory.listen;
+  settings.fetch_wait = config.operator_settings.faktory.fetch_wait;
+  settings.heartbeat_timeout = config.operator_settings.faktory.worker_heartbeat_timeout;
+  settings.reconnect_timeout = config.operator_settings.faktory.worker_reconnect_timeout;
+  settings.max_connections = DivideDescriptors(config).faktory_sessions;
   for (const auto& job_class : config.module.classes)
     settings.classes.emplace(job_class.name, job_class.deadline);
   return settings;
@@ -29,7 +29,7 @@
   explicit FaktoryComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& config) override {
-    settings_ = config.own.faktory;
+    settings_ = config.operator_settings.faktory;
     if (!settings_.enabled)
       return;
     frontend_ = MakeFrontend(config);
@@ -45,7 +45,7 @@
   void Reply(std::uint64_t client, const FinalAnswer& answer) override { frontend_->Reply(client, answer); }
 
   void PrepareReload(const Config& next) override {
-    const FaktorySettings& next_settings = next.own.faktory;
+    const FaktorySettings& next_settings = next.operator_settings.faktory;
     if (!next_settings.enabled)
       return;
     if (frontend_ == nullptr)
@@ -58,7 +58,7 @@
     prepared_listener_.reset();
   }
   void ApplyReload(const Config& config) override {
-    settings_ = config.own.faktory;
+    settings_ = config.operator_settings.faktory;
     if (prepared_frontend_ != nullptr) {
       frontend_ = std::move(prepared_frontend_);
       Register();
@@ -75,7 +75,7 @@
     if (frontend_ != nullptr)
       frontend_->BeginDrain();
   }
-  bool IsIdle() const override { return frontend_ == nullptr || frontend_->Quiet(); }
+  bool IsIdle() const override { return frontend_ == nullptr || frontend_->HasNoProducers(); }
 
  private:
   std::unique_ptr<faktory::Frontend> MakeFrontend(const Config& config) const {
--- a/src/daemon/snmp_component.cpp
+++ b/src/daemon/snmp_component.cpp
@@ -14,7 +14,7 @@
   explicit SnmpComponent(const ComponentContext& context) : context_(context) {}
 
   void Start(const Config& config) override {
-    settings_ = config.own.snmp;
+    settings_ = config.operator_settings.snmp;
     if (settings_.enabled)
       agent_ = std::make_unique<snmp::Agent>(context_.base, settings_.listen, [this] { return Objects(); });
   }
@@ -24,7 +24,7 @@
   }
   // Rejects any change, because the SNMP library has global state and cannot be started a second time.
   void PrepareReload(const Config& next) override {
-    if (!(next.own.snmp == settings_))
+    if (!(next.operator_settings.snmp == settings_))
       throw ConfigError("snmp cannot change while the program runs");
   }
 
--- a/src/faktory/codec.cpp
+++ b/src/faktory/codec.cpp
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kLongestId = 256;
+constexpr std::size_t kMaxIdBytes = 256;
 
 Json Parse(std::string_view text) {
   Json json = Json::parse(text, nullptr, /*allow_exceptions=*/false);
@@ -18,7 +18,8 @@
   return json;
 }
 
-std::string Text(const Json& json, const char* name, bool required) {
+// Returns a string member; empty if it is absent and not required.
+std::string ReadText(const Json& json, const char* name, bool required) {
   const auto found = json.find(name);
   if (found == json.end() || found->is_null()) {
     if (required)
@@ -33,11 +34,11 @@
   return text;
 }
 
-std::string Id(const Json& json, const char* name) {
-  std::string id = Text(json, name, true);
-  if (id.size() > kLongestId)
+std::string ReadId(const Json& json, const char* name) {
+  std::string id = ReadText(json, name, true);
+  if (id.size() > kMaxIdBytes)
     throw BadCommand(std::string(name) + " is too long");
-  // An id also travels as a header and in log lines.
+  // The id is also written into headers and log lines.
   if (std::any_of(id.begin(), id.end(), [](unsigned char c) { return c <= ' ' || c == 127; }))
     throw BadCommand(std::string(name) + " must hold no blanks or controls");
   return id;
@@ -47,8 +48,8 @@
   if (!json.is_object())
     throw BadCommand("a job must be an object");
   Job job;
-  job.id = Id(json, "jid");
-  job.job_class = Text(json, "jobtype", true);
+  job.id = ReadId(json, "jid");
+  job.job_class = ReadText(json, "jobtype", true);
   const auto job_class = classes.find(job.job_class);
   if (job_class == classes.end())
     throw BadCommand("jobtype '" + job.job_class + "' is no class");
@@ -59,7 +60,7 @@
   if (const auto custom = json.find("custom"); custom != json.end() && !custom->is_null()) {
     if (!custom->is_object())
       throw BadCommand("custom must be an object");
-    job.tenant = Text(*custom, "tenant", false);
+    job.tenant = ReadText(*custom, "tenant", false);
     if (const auto deadline = custom->find("deadline_ms"); deadline != custom->end()) {
       if (!deadline->is_number())
         throw BadCommand("custom.deadline_ms must be a number");
@@ -75,7 +76,7 @@
       job.slots = static_cast<int>(slots->get<std::int64_t>());
     }
   }
-  job.has_idempotent_id = true;  // the jid outlives this push
+  job.has_idempotent_id = true;  // A client keeps the jid when it retries.
   job.idempotency_key = job.id;
   job.target = "/" + job.job_class;
   job.content_type = "application/json";
@@ -90,22 +91,22 @@
   if (!json.is_object())
     throw BadCommand("HELLO takes an object");
   Hello hello;
-  if (const auto v = json.find("v"); v != json.end()) {
-    if (!v->is_number_integer())
+  if (const auto version = json.find("v"); version != json.end()) {
+    if (!version->is_number_integer())
       throw BadCommand("v must be a whole number");
-    hello.version = v->get<int>();
+    hello.version = version->get<int>();
   }
   if (json.contains("wid") && json["wid"] != "" && !json["wid"].is_null())
-    hello.wid = Id(json, "wid");
+    hello.wid = ReadId(json, "wid");
   if (const auto labels = json.find("labels"); labels != json.end() && labels->is_array()) {
     for (const Json& label : *labels) {
       if (!label.is_string())
         continue;
-      const std::string text_of = label.get<std::string>();
-      if (text_of.starts_with("zone:"))
-        hello.zone = text_of.substr(5);
-      if (text_of.starts_with("kind:"))
-        hello.kind = text_of.substr(5);
+      const std::string label_text = label.get<std::string>();
+      if (label_text.starts_with("zone:"))
+        hello.zone = label_text.substr(5);
+      if (label_text.starts_with("kind:"))
+        hello.kind = label_text.substr(5);
     }
   }
   return hello;
@@ -115,25 +116,25 @@
   return DecodeJob(Parse(json), classes);
 }
 
-std::vector<Pushed> DecodePushBulk(std::string_view text, const ClassDeadlines& classes) {
+std::vector<BulkPushItem> DecodePushBulk(std::string_view text, const ClassDeadlines& classes) {
   const Json json = Parse(text);
   if (!json.is_array())
     throw BadCommand("PUSHB takes a list");
-  std::vector<Pushed> all;
+  std::vector<BulkPushItem> pushed_items;
   for (const Json& item : json) {
-    Pushed& pushed = all.emplace_back();
+    BulkPushItem& pushed = pushed_items.emplace_back();
     if (item.is_object() && item.contains("jid") && item["jid"].is_string())
       pushed.jid = item["jid"];
-    // Its reply names jobs by their jid: one without cannot be told of.
+    // The reply names each rejected job by its jid, so it cannot report one without a jid.
     if (pushed.jid.empty())
       throw BadCommand("jid is missing");
     try {
       pushed.job = DecodeJob(item, classes);
-    } catch (const BadCommand& e) {
-      pushed.error = e.what();
+    } catch (const BadCommand& error) {
+      pushed.error = error.what();
     }
   }
-  return all;
+  return pushed_items;
 }
 
 std::string EncodePushBulkReply(const std::vector<std::pair<std::string, std::string>>& errors) {
@@ -167,7 +168,7 @@
   if (!json.is_object())
     throw BadCommand("ACK and FAIL take an object");
   Ack ack;
-  ack.jid = Id(json, "jid");
+  ack.jid = ReadId(json, "jid");
   if (const auto result = json.find("result"); result != json.end() && !result->is_null())
     ack.result = result->is_string() ? result->get<std::string>()
                                      : result->dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -178,18 +179,18 @@
   const Json json = Parse(text);
   if (!json.is_object())
     throw BadCommand("BEAT takes an object");
-  const std::string state = Text(json, "current_state", false);
+  const std::string state = ReadText(json, "current_state", false);
   if (!state.empty() && state != "quiet" && state != "terminate")
     throw BadCommand("current_state must be quiet or terminate");
-  return {Id(json, "wid"), state};
+  return {ReadId(json, "wid"), state};
 }
 
-std::string EncodeInfo(const Info& info) {
+std::string EncodeInfo(const ServerInfo& info) {
   const Json json = {
       {"server",
        {{"description", "aldersill"}, {"connections", info.connections}, {"uptime", info.uptime / kSecond}}},
       {"faktory",
-       {{"total_enqueued", 0},  // nothing is stored
+       {{"total_enqueued", 0},  // The dispatcher stores no jobs.
         {"total_queues", 0},
         {"queues", Json::object()},
         {"total_pushed", info.pushed},
--- a/src/faktory/frontend.cpp
+++ b/src/faktory/frontend.cpp
@@ -14,7 +14,7 @@
 constexpr Micros kDrainCheckInterval = 20 * kMillisecond;
 
 WorkerTimeouts TimeoutsOf(const FrontendSettings& settings) {
-  return {.heartbeat = settings.silence, .reconnect = settings.return_within};
+  return {.heartbeat = settings.heartbeat_timeout, .reconnect = settings.reconnect_timeout};
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
       settings_(std::move(settings)),
       sink_(sink),
       workers_(base, sink, [this](const std::string& worker) { CloseSessionsOf(worker); }),
-      began_(SteadyNow()),
+      started_at_(SteadyNow()),
       drain_timer_(base, [this] { CloseIdleProducers(); }) {
   workers_.set_timeouts(TimeoutsOf(settings_));
   listener_ = Open(settings_.listen);
@@ -56,7 +56,7 @@
 }
 
 void Frontend::Accept(evutil_socket_t fd) {
-  if (sessions_.size() >= static_cast<std::size_t>(settings_.most_connections)) {
+  if (sessions_.size() >= static_cast<std::size_t>(settings_.max_connections)) {
     Log(LogLevel::kWarning, "faktory_session_limit_reached", {{"sessions", sessions_.size()}});
     evutil_closesocket(fd);
     return;
@@ -90,18 +90,18 @@
   drain_timer_.Set(kDrainCheckInterval);
 }
 
-bool Frontend::Quiet() const {
+bool Frontend::HasNoProducers() const {
   return std::all_of(sessions_.begin(), sessions_.end(),
                      [](const auto& entry) { return !entry.first->worker().empty(); });
 }
 
-Info Frontend::GetInfo() const {
+ServerInfo Frontend::GetInfo() const {
   return {.connections = sessions_.size(),
           .workers = workers_.size(),
           .pushed = pushed_,
           .done = done_,
           .failed = failed_,
-          .uptime = SteadyNow() - began_};
+          .uptime = SteadyNow() - started_at_};
 }
 
 void Frontend::SubmitJob(Session* session, Job job) {
@@ -146,7 +146,8 @@
     producer_by_client_.erase(push.client);
     sink_->Post(ClientLeft{{ClientRef::Frontend::kFaktory, push.client}});
   }
-  if (workers_.Contains(session->worker()))  // not if it is a producer's, or its worker is lost
+  // False for a producer's session and for a session of a worker that is lost.
+  if (workers_.Contains(session->worker()))
     workers_.Disconnect(session);
 }
 
--- a/src/faktory/frontend.h
+++ b/src/faktory/frontend.h
@@ -1,6 +1,6 @@
-// The Faktory frontend: accepts connections of producers and workers, and carries jobs and answers between
-// them and the core. Producers PUSH and are answered once the work is done; a FETCH of a worker is a free
-// slot. It makes no dispatch decisions.
+// The Faktory frontend. It accepts connections from producers and workers and passes jobs and answers between
+// them and the core. A PUSH is answered when the job is done; a worker's FETCH counts as a free slot. The
+// frontend makes no dispatch decisions.
 #ifndef ALDERSILL_SRC_FAKTORY_FRONTEND_H_
 #define ALDERSILL_SRC_FAKTORY_FRONTEND_H_
 
@@ -21,10 +21,10 @@
 
 struct FrontendSettings {
   Endpoint listen;
-  Micros fetch_wait = 2 * kSecond;  // how long a FETCH may wait before it gets null
-  Micros silence = 60 * kSecond;    // a worker that sends no command for this long is lost
-  Micros return_within = kSecond;   // a worker without a connection for this long is lost
-  int most_connections = 128;
+  Micros fetch_wait = 2 * kSecond;          // time until a FETCH without a job gets null
+  Micros heartbeat_timeout = 60 * kSecond;  // A worker that sends no command for this long is lost.
+  Micros reconnect_timeout = kSecond;       // A worker without a connection for this long is lost.
+  int max_connections = 128;
   ClassDeadlines classes;
 };
 
@@ -34,24 +34,26 @@
   Frontend(event_base* base, FrontendSettings settings, EventSink* sink);
   ~Frontend() override;
 
-  // Adopts new settings. `listener` replaces the present one; null keeps that.
+  // Applies new settings. `listener` replaces the present listener; null keeps it.
   void ApplySettings(FrontendSettings settings, EventPtr<evconnlistener> listener);
-  // A listener for ApplySettings. Throws std::runtime_error if it cannot listen.
+  // Opens a listener for ApplySettings. Throws std::runtime_error if it cannot listen.
   EventPtr<evconnlistener> Open(const Endpoint& listen);
+  // The TCP port that the listener is bound to.
   int port() const;
 
-  // Answers a producer's job. Ignored if the producer is gone.
+  // Answers a producer's job. Does nothing if the producer has disconnected.
   void Reply(std::uint64_t client, const FinalAnswer& answer);
+  // Carry out the core's effects on attempts (worker_registry.h).
   void Start(const StartAttempt& start);
   void Stop(AttemptId attempt);
 
-  // Closes producers' sessions, now and later, each between two commands. Workers stay until the last job is
-  // done.
+  // Closes each producer's session, including new ones, as soon as it is idle between two commands. Workers
+  // stay connected until the last job is done.
   void BeginDrain();
-  // Stops listening, and drains. ApplySettings with a listener opens it again.
+  // Stops listening and begins a drain. ApplySettings with a listener then ends the drain.
   void Close();
-  // Whether no producer is connected.
-  bool Quiet() const;
+  // Returns whether no producer is connected.
+  bool HasNoProducers() const;
 
  private:
   static void OnAccept(evconnlistener* listener, evutil_socket_t fd, sockaddr* peer, int size, void* self);
@@ -62,7 +64,7 @@
   const ClassDeadlines& classes() const override { return settings_.classes; }
   Micros fetch_wait() const override { return settings_.fetch_wait; }
   Micros drain_began() const override { return drain_began_; }
-  Info GetInfo() const override;
+  ServerInfo GetInfo() const override;
   void SubmitJob(Session* session, Job job) override;
   void ConnectWorker(Session* session, const Hello& hello) override { workers_.Connect(session, hello); }
   void RecordHeartbeat(const std::string& worker) override { workers_.RecordHeartbeat(worker); }
@@ -82,13 +84,13 @@
   EventPtr<evconnlistener> listener_;
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
   WorkerRegistry workers_;
-  std::unordered_map<std::uint64_t, Session*> producer_by_client_;  // of jobs that have no answer yet
+  std::unordered_map<std::uint64_t, Session*> producer_by_client_;  // sessions of unanswered jobs
   std::uint64_t next_client_ = 1;
   std::uint64_t pushed_ = 0;
   std::uint64_t done_ = 0;
   std::uint64_t failed_ = 0;
-  Micros began_ = 0;
-  Micros drain_began_ = 0;  // 0: no drain
+  Micros started_at_ = 0;
+  Micros drain_began_ = 0;  // 0 if no drain is in progress
   Timer drain_timer_;
 };
 
--- a/src/faktory/resp.cpp
+++ b/src/faktory/resp.cpp
@@ -5,7 +5,9 @@
 namespace aldersill::faktory {
 namespace {
 
-std::string OneLine(std::string_view text) { return std::string(text.substr(0, text.find_first_of("\r\n"))); }
+std::string FirstLine(std::string_view text) {
+  return std::string(text.substr(0, text.find_first_of("\r\n")));
+}
 
 }  // namespace
 
@@ -22,9 +24,9 @@
   return command;
 }
 
-std::string SimpleString(std::string_view text) { return "+" + OneLine(text) + "\r\n"; }
+std::string SimpleString(std::string_view text) { return "+" + FirstLine(text) + "\r\n"; }
 std::string Error(std::string_view kind, std::string_view text) {
-  return "-" + OneLine(kind) + " " + OneLine(text) + "\r\n";
+  return "-" + FirstLine(kind) + " " + FirstLine(text) + "\r\n";
 }
 std::string BulkString(std::string_view text) {
   return "$" + std::to_string(text.size()) + "\r\n" + std::string(text) + "\r\n";
--- a/src/faktory/resp.h
+++ b/src/faktory/resp.h
@@ -1,4 +1,4 @@
-// The framing of the Faktory work protocol: commands come as lines, replies go as RESP.
+// The framing of the Faktory work protocol. Commands are lines of text, replies are RESP.
 #ifndef ALDERSILL_SRC_FAKTORY_RESP_H_
 #define ALDERSILL_SRC_FAKTORY_RESP_H_
 
@@ -7,15 +7,16 @@
 
 namespace aldersill::faktory {
 
-// One command: a verb and the rest of its line.
+// A command, which consists of a verb and the rest of the line.
 struct Command {
   std::string verb;
   std::string argument;
 };
-// A line without its CR LF; the verb in capitals, as stock servers take either.
+// Decodes a line without its CR LF. Converts the verb to upper case, because other Faktory servers ignore
+// case.
 Command DecodeCommand(std::string_view line);
 
-// A text that may hold line ends of its own is cut at the first: it must not pass for two replies.
+// SimpleString and Error cut each text at its first line break, so that it cannot be read as two replies.
 std::string SimpleString(std::string_view text);
 std::string Error(std::string_view kind, std::string_view text);
 std::string BulkString(std::string_view text);
--- a/src/faktory/session.cpp
+++ b/src/faktory/session.cpp
@@ -10,12 +10,14 @@
 namespace aldersill::faktory {
 namespace {
 
-constexpr std::size_t kMaxLineBytes = std::size_t{64} * 1024;  // as much as a body on the platform's wire
+// Equal to the maximum size of a body in the platform's protocol.
+constexpr std::size_t kMaxLineBytes = std::size_t{64} * 1024;
 constexpr Micros kHelloTimeout = 5 * kSecond;
 constexpr Micros kNewSessionGrace = 600 * kMillisecond;
-constexpr timeval kWriteTimeout = {120, 0};  // ends the session of a peer that does not read its replies
+// Closes the session of a peer that does not read its replies.
+constexpr timeval kWriteTimeout = {120, 0};
 
-// The text after "-ERR": a rejection says when to retry, a failure promises nothing.
+// Returns the text after "-ERR". A rejection says when to retry; after a failure, the job may have run.
 std::string ErrorText(const FinalAnswer& answer) {
   if (const auto* rejection = std::get_if<Rejection>(&answer))
     return "NACK retry-after=" + DecimalSeconds(rejection->retry_after) +
@@ -46,7 +48,8 @@
 }
 
 bool Session::IsIdle(Micros drain_began) const {
-  // A session that is newer than the drain, or has sent half a line, is about to send its command.
+  // A session that was accepted during the drain, or that has sent part of a line, is expected to send a
+  // command soon.
   const bool has_partial_line = evbuffer_get_length(bufferevent_get_input(stream_.get())) != 0;
   const bool in_grace = SteadyNow() - std::max(accepted_, drain_began) < kNewSessionGrace;
   if ((accepted_ >= drain_began || has_partial_line) && in_grace)
@@ -86,7 +89,7 @@
 
 void Session::HandleTimeout() {
   if (state_ == State::kGreeting)
-    return host_->CloseSession(this);  // no HELLO
+    return host_->CloseSession(this);  // The peer has sent no HELLO.
   if (state_ != State::kFetching)
     return;
   host_->CancelFetch(this);
@@ -95,7 +98,8 @@
 
 void Session::HandleWritten() {
   const Micros drain_began = host_->drain_began();
-  // A producer that pushes again at once is never idle later in a drain: it can be closed only after a reply.
+  // A producer that pushes again immediately is idle only right after a reply has been written, so a drain
+  // must check for idleness here.
   const bool drained = drain_began != 0 && worker_.empty() && IsIdle(drain_began);
   const bool ended =
       state_ == State::kEnding && evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
@@ -109,7 +113,7 @@
   timer_.Clear();
   state_ = State::kReady;
   Write(reply);
-  // Deferred: the caller may be in the middle of posting an event to the core.
+  // The next read is deferred, because the caller may be posting an event to the core.
   bufferevent_trigger(stream_.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS);
 }
 
@@ -197,11 +201,12 @@
 }
 
 void Session::PushBulk(const std::string& argument) {
-  std::vector<Pushed> jobs = DecodePushBulk(argument, host_->classes());
+  std::vector<BulkPushItem> pushed_items = DecodePushBulk(argument, host_->classes());
   state_ = State::kPushingBulk;
   bulk_errors_.clear();
-  submitting_bulk_ = true;  // a job that is answered at once must not end the reply before all are submitted
-  for (Pushed& pushed : jobs) {
+  // Prevents a job that is answered immediately from finishing the reply before all jobs are submitted.
+  submitting_bulk_ = true;
+  for (BulkPushItem& pushed : pushed_items) {
     if (pushed.job)
       host_->SubmitJob(this, std::move(*pushed.job));
     else
@@ -223,7 +228,8 @@
 
 void Session::End() {
   state_ = State::kEnding;
-  // Deferred: commands are still being read, and replies that are on their way go first.
+  // The callback is deferred, because commands are still being read and pending replies must be written
+  // first.
   bufferevent_trigger(stream_.get(), EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
 }
 
--- a/src/faktory/session.h
+++ b/src/faktory/session.h
@@ -1,4 +1,4 @@
-// One connection of the Faktory frontend: a producer's, or one of a worker's.
+// A connection of the Faktory frontend, from a producer or a worker. A worker can have several.
 #ifndef ALDERSILL_SRC_FAKTORY_SESSION_H_
 #define ALDERSILL_SRC_FAKTORY_SESSION_H_
 
@@ -18,41 +18,44 @@
 
 class Session;
 
-// What a session needs of its owner. No function may destroy the session but CloseSession.
+// The services that a session needs from its owner. Only CloseSession may destroy the session.
 class SessionHost {
  public:
   virtual ~SessionHost() = default;
   virtual const ClassDeadlines& classes() const = 0;
-  // How long a FETCH may be parked.
+  // The longest time that a FETCH is parked.
   virtual Micros fetch_wait() const = 0;
-  // When the drain began; 0 if there is none.
+  // The time at which the drain began; 0 if there is none.
   virtual Micros drain_began() const = 0;
-  virtual Info GetInfo() const = 0;
-  // Posts a producer's job; calls AddPendingPush before.
+  virtual ServerInfo GetInfo() const = 0;
+  // Calls AddPendingPush and posts the producer's job to the core.
   virtual void SubmitJob(Session* session, Job job) = 0;
-  // Makes the session one of a worker's; calls BecomeWorker.
+  // Assigns the session to the worker that `hello` names; calls BecomeWorker.
   virtual void ConnectWorker(Session* session, const Hello& hello) = 0;
   virtual void RecordHeartbeat(const std::string& worker) = 0;
-  // Offers the session's parked FETCH for jobs, or withdraws it.
+  // Makes the session's FETCH available for jobs.
   virtual void ParkFetch(Session* session) = 0;
+  // Withdraws the session's parked FETCH.
   virtual void CancelFetch(Session* session) = 0;
-  // Return the reply to an ACK or FAIL, and to a BEAT.
+  // Returns the reply to an ACK or FAIL.
   virtual std::string Acknowledge(const std::string& worker, const Ack& ack, Outcome outcome) = 0;
+  // Returns the reply to a BEAT.
   virtual std::string HandleBeat(const std::string& worker, const Beat& beat) = 0;
   // Destroys the session.
   virtual void CloseSession(Session* session) = 0;
 };
 
-// Reads commands and writes replies, one command at a time: replies come in the order of their commands.
+// Reads commands and writes replies. It runs one command at a time, so replies have the order of their
+// commands.
 class Session {
  public:
-  // A producer's job that has no answer yet.
+  // A producer's job that is unanswered.
   struct PendingPush {
     std::uint64_t client;
     std::string jid;
   };
 
-  // Takes over the descriptor. `host` must outlive the session.
+  // Takes ownership of the descriptor. `host` must outlive the session.
   Session(event_base* base, SessionHost* host, evutil_socket_t fd);
 
   // The worker's name; empty for a producer.
@@ -62,15 +65,16 @@
   void AddPendingPush(std::uint64_t client, std::string jid) {
     pending_pushes_.push_back({client, std::move(jid)});
   }
-  // Whether it ends by itself, by END or after an error.
+  // Returns whether the session is about to close because of END or an error.
   bool ending() const { return state_ == State::kEnding; }
   bool has_parked_fetch() const { return state_ == State::kFetching; }
-  // Whether it may be closed in a drain without losing the answer to a command that is on its way.
+  // Returns whether a drain can close the session without losing the answer to a command that the peer has
+  // sent or is about to send.
   bool IsIdle(Micros drain_began) const;
 
-  // Ends the parked FETCH with a job, already encoded as a reply.
+  // Answers the parked FETCH with a job, which is already encoded as a reply.
   void DeliverFetch(const std::string& reply) { Reply(reply); }
-  // Answers a pending push. Ignored if it is not pending.
+  // Answers a pending push. Does nothing if it is not pending.
   void AnswerPush(std::uint64_t client, const FinalAnswer& answer);
 
  private:
@@ -83,12 +87,13 @@
   void HandleWritten();
 
   void Write(const std::string& text);
-  // Replies to the current command, and goes on to the next.
+  // Replies to the current command and continues with the next one.
   void Reply(const std::string& reply);
+  // Writes a last reply, after which the session closes.
   void EndWith(const std::string& last_reply);
 
   void ReadCommands();
-  // Runs one command line. False if the session ends.
+  // Runs one command line. Returns false if the session ends.
   bool RunLine(const std::string& line);
   void Run(const Command& command);
   void Greet(const Command& command);
@@ -97,6 +102,7 @@
   void FinishBulk();
   void Fetch();
   void End();
+  // Returns the worker's name. Throws BadCommand for a producer.
   const std::string& RequireWorker() const;
 
   SessionHost* host_;
@@ -106,7 +112,7 @@
   State state_ = State::kGreeting;
   std::string worker_;
   std::vector<PendingPush> pending_pushes_;
-  std::vector<std::pair<std::string, std::string>> bulk_errors_;  // by jid
+  std::vector<std::pair<std::string, std::string>> bulk_errors_;  // pairs of jid and text
   bool submitting_bulk_ = false;
 };
 
--- a/src/faktory/worker_registry.cpp
+++ b/src/faktory/worker_registry.cpp
@@ -9,7 +9,7 @@
 namespace aldersill::faktory {
 namespace {
 
-// Bounds the memory for a worker that never acknowledges.
+// Limits the memory used for a worker that never acknowledges.
 constexpr std::size_t kMaxAbandoned = 10'000;
 // Distinguishes a wid from the ids that discovery assigns.
 constexpr char kNamePrefix[] = "faktory:";
@@ -34,7 +34,8 @@
 }
 
 void WorkerRegistry::InitializeWorker(const std::string& name, const Hello& hello, Worker* worker) {
-  // `started` stays 0, long ago: a worker that gets only what it fetches needs no slow start.
+  // `started` stays 0, a time long past, because a worker that gets only the jobs that it fetches needs no
+  // slow start.
   worker->endpoint.name = name;
   worker->endpoint.address = name;
   worker->endpoint.zone = hello.zone;
@@ -54,8 +55,8 @@
   if (!session->ending() && worker.sessions == 1)
     return RemoveWorker(name);
   --worker.sessions;
-  // A client library's pool ends idle connections while their jobs run, acknowledges over any connection, and
-  // opens the next one a moment after it has ended the last.
+  // Connection pools of client libraries close idle connections while their jobs run, acknowledge over any
+  // connection, and may open a new connection shortly after they have closed the last one.
   const std::vector<AttemptId> detached = DetachInFlight(&worker, session);
   if (worker.sessions == 0) {
     worker.timeout->Set(timeouts_.reconnect);
@@ -104,7 +105,7 @@
 
 std::string WorkerRegistry::Acknowledge(const std::string& name, const Ack& ack, Outcome outcome) {
   Worker& worker = workers_.at(name);
-  // An abandoned attempt under the same jid was fetched earlier, so it ends first.
+  // An abandoned attempt with the same jid was fetched earlier, so its ACK comes first.
   if (const auto abandoned = worker.abandoned.find(ack.jid); abandoned != worker.abandoned.end()) {
     const AttemptId attempt = abandoned->second;
     worker.abandoned.erase(abandoned);
@@ -141,7 +142,7 @@
   Worker& worker = found->second;
   attempts_[start.attempt] = start.worker;
   if (worker.parked_fetches.empty()) {
-    worker.unsent.push_back(start);  // the core limits the time that it waits
+    worker.unsent.push_back(start);  // The core limits the waiting time.
     return;
   }
   Session* session = worker.parked_fetches.front();
@@ -162,15 +163,15 @@
   const auto found_worker = workers_.find(found->second);
   attempts_.erase(found);
   if (found_worker == workers_.end())
-    return;  // it is lost, with all its attempts
+    return;  // The worker is lost with all its attempts.
   Worker& worker = found_worker->second;
   std::erase_if(worker.unsent, [attempt](const auto& start) { return start.attempt == attempt; });
   const auto job = std::find_if(worker.in_flight.begin(), worker.in_flight.end(),
                                 [&](const auto& entry) { return entry.second.attempt == attempt; });
   if (job == worker.in_flight.end())
     return;
-  // The protocol cannot notify the worker. Its ACK will come, and must differ from one for a job it never
-  // had.
+  // The protocol cannot tell a worker to stop a job, so its ACK still arrives. Keeping the attempt
+  // distinguishes that ACK from one for a job that the worker never had.
   if (worker.abandoned.size() >= kMaxAbandoned) {
     PostAbandonedEnded(worker);
     worker.abandoned.clear();
@@ -187,7 +188,7 @@
   std::vector<AttemptId> in_flight;
   for (const auto& [jid, job] : worker.in_flight)
     in_flight.push_back(job.attempt);
-  // The endpoint list first: what is lost here must not be sent here again.
+  // The endpoint update is posted first, so that the core does not send the lost jobs to this worker again.
   worker.endpoint.state = WorkerEndpoint::State::kGone;
   PostEndpoint(worker);
   PostAbandonedEnded(worker);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,17 +15,18 @@
 
 constexpr std::size_t kMaxFieldBytes = 400;
 
-// A token bucket: one token a line.
+// A token bucket. Each line takes one token.
 class RateLimiter {
  public:
   void Configure(const LogSettings& settings) {
     lines_per_second_ = settings.lines_per_second;
-    // A larger burst is available at once; a smaller one takes away what exceeds it.
+    // An increase of the burst is available immediately. A decrease removes the tokens above the new burst.
     const double growth = std::max(0.0, settings.burst - burst_);
     tokens_ = std::min<double>(settings.burst, tokens_ + growth);
     burst_ = settings.burst;
   }
 
+  // Takes a token. Returns false if there is none.
   bool TryAcquire() {
     const Clock::time_point now = Clock::now();
     const double elapsed_seconds = std::chrono::duration<double>(now - last_refill_).count();
@@ -45,20 +46,20 @@
   Clock::time_point last_refill_ = Clock::now();
 };
 
-// The state of the process's only log.
+// The state of the process-wide log.
 struct LogState {
   LogState() {
-    logger.set_pattern("%v");  // lines are complete already
+    logger.set_pattern("%v");  // Write() passes complete lines.
     logger.set_level(spdlog::level::trace);
     logger.flush_on(spdlog::level::trace);
   }
-  // Only one thread writes, so the sink needs no lock.
+  // The sink needs no lock, because only one thread writes.
   spdlog::logger logger{"aldersill", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   RateLimiter& RateLimiterOf(LogBudget budget) { return rate_limiters[static_cast<std::size_t>(budget)]; }
 
   LogSettings settings;
-  std::array<RateLimiter, 2> rate_limiters;  // by LogBudget
-  std::uint64_t dropped = 0;                 // lines, since the last one that was written
+  std::array<RateLimiter, 2> rate_limiters;  // indexed by LogBudget
+  std::uint64_t dropped = 0;                 // number of lines dropped since the last written line
 };
 
 LogState& GlobalState() {
@@ -66,11 +67,11 @@
   return state;
 }
 
-// By LogLevel.
+// Indexed by LogLevel.
 constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error"};
 
-// A value as a single word, or in double quotes. Control characters are replaced, as values may come from
-// peers.
+// Returns the value unchanged if it is a single plain word, else in double quotes. Control characters are
+// replaced by spaces, because values may come from peers.
 std::string QuoteIfNeeded(std::string_view text) {
   const auto is_plain = [](unsigned char c) {
     return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// Structured logging: an event with typed fields is one line on standard error, under a rate limit. For the
-// thread of the event loop only.
+// Structured logging. Each event with its typed fields is one line on standard error, subject to a rate
+// limit. Only the event loop's thread may log.
 #ifndef ALDERSILL_SRC_LOG_LOG_H_
 #define ALDERSILL_SRC_LOG_LOG_H_
 
@@ -14,22 +14,22 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// Lines share a rate limit with those of their own budget only: many requests that fail must not crowd out
-// the lines that say why.
+// A group of log lines with a rate limit of its own. Separate limits keep lines about many failing requests
+// from displacing the lines that give the cause.
 enum class LogBudget {
-  kProcess,   // the process, its configuration and the endpoint list
-  kRequests,  // single requests, attempts and connections
+  kProcess,   // lines about the process, its configuration and the endpoint list
+  kRequests,  // lines about single requests, attempts and connections
 };
 
 struct LogSettings {
   enum class Format { kText, kJson } format = Format::kText;
-  LogLevel level = LogLevel::kInfo;  // the lowest that is written
-  // Of each budget.
+  LogLevel level = LogLevel::kInfo;  // lowest level that is written
+  // Rate limit of each budget.
   int lines_per_second = 20;
   int burst = 100;
 };
 
-// A named value. Implicit constructors let callers write {{"name", value}}.
+// A named value. Its constructors are implicit, so that callers can write {{"name", value}}.
 struct LogField {
   using Value = std::variant<std::int64_t, double, bool, std::string>;
   template <std::integral T>
@@ -42,17 +42,18 @@
   Value value;
 };
 
-// Writes a line. Text: `aldersill: info listening name=http address=127.0.0.1:8000`. JSON: one object a line,
-// with "time" (RFC 3339, UTC), "level", "event" and the fields. A field longer than 400 bytes is cut. Lines
-// beyond the rate limit are dropped, and counted by a line `log_lines_dropped` before the next that is
-// written.
+// Writes one line. An example of the text format is
+//   aldersill: info listening name=http address=127.0.0.1:8000
+// In JSON format a line is an object with "time" (RFC 3339, UTC), "level", "event" and the fields. Text
+// values are truncated to 400 bytes. Lines beyond the rate limit are dropped; a line `log_lines_dropped`
+// before the next written line gives their number.
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {},
          LogBudget budget = LogBudget::kProcess);
 
-// Whether lines of this level are written, to spare the cost of building those that are not.
+// Returns whether lines of this level are written. Callers can skip building lines that are not.
 bool LogsAt(LogLevel level);
 
-// Applies from the next line on.
+// Applies the settings from the next line on.
 void SetUpLog(const LogSettings& settings);
 
 }  // namespace aldersill
--- a/src/log/trace.cpp
+++ b/src/log/trace.cpp
@@ -7,11 +7,11 @@
 namespace aldersill {
 namespace {
 
-// By Outcome.
+// Indexed by Outcome.
 constexpr const char* kOutcomes[] = {"served",         "error", "full",      "timeout",
                                      "connect_failed", "lost",  "cancelled", "not_sent"};
 
-// By Rejection::Reason.
+// Indexed by Rejection::Reason.
 constexpr const char* kRejectionReasons[] = {"nothing_sent", "no_ready_worker", "after_attempts",
                                              "duplicate_in_flight"};
 
@@ -62,10 +62,10 @@
 
 std::uint64_t NumberOf(AttemptId attempt) { return static_cast<std::uint64_t>(attempt); }
 
-// A figure that the worker did not report is logged as -1.
-double FigureOrUnknown(const std::optional<double>& figure) { return figure.value_or(-1.0); }
+// A value that the worker did not report is logged as -1.
+double ValueOrUnknown(const std::optional<double>& value) { return value.value_or(-1.0); }
 
-// What went on as it should is traced at debug, any retry, failure, rejection or stop at info.
+// Retries, failures, rejections and stops are logged at level info, everything else at level debug.
 LogLevel LevelOf(const AttemptEnded& event) {
   return event.outcome == Outcome::kServed ? LogLevel::kDebug : LogLevel::kInfo;
 }
@@ -82,7 +82,7 @@
   Log(level, event, fields, LogBudget::kRequests);
 }
 
-// Logs an event of the core; events that are not traced match the last overload.
+// Logs an event of the core. Events that are not logged match the last overload.
 struct EventTracer {
   void operator()(const RequestReceived& event) const {
     LogTrace(LogLevel::kDebug, "request_received",
@@ -108,20 +108,20 @@
              {{"attempt", NumberOf(event.attempt)},
               {"outcome", NameOf(event.outcome)},
               {"why", event.reason},
-              {"free", FigureOrUnknown(event.report.free_slots)},
-              {"cpu", FigureOrUnknown(event.report.cpu_share)},
-              {"service_ms", FigureOrUnknown(event.report.service_ms)},
-              {"served_per_s", FigureOrUnknown(event.report.served_per_s)}});
+              {"free", ValueOrUnknown(event.report.free_slots)},
+              {"cpu", ValueOrUnknown(event.report.cpu_share)},
+              {"service_ms", ValueOrUnknown(event.report.service_ms)},
+              {"served_per_s", ValueOrUnknown(event.report.served_per_s)}});
   }
   void operator()(const ProbeCompleted& event) const {
     LogTrace(LogLevel::kDebug, "probe_completed",
              {{"worker", event.worker},
               {"outcome", NameOf(event.outcome)},
               {"elapsed_ms", event.elapsed / kMillisecond},
-              {"free", FigureOrUnknown(event.report.free_slots)},
-              {"cpu", FigureOrUnknown(event.report.cpu_share)},
-              {"service_ms", FigureOrUnknown(event.report.service_ms)},
-              {"served_per_s", FigureOrUnknown(event.report.served_per_s)}});
+              {"free", ValueOrUnknown(event.report.free_slots)},
+              {"cpu", ValueOrUnknown(event.report.cpu_share)},
+              {"service_ms", ValueOrUnknown(event.report.service_ms)},
+              {"served_per_s", ValueOrUnknown(event.report.served_per_s)}});
   }
   void operator()(const EndpointListUpdate& event) const {
     for (const WorkerEndpoint& worker : event.workers) {
@@ -137,7 +137,7 @@
   void operator()(const auto& /*event*/) const {}
 };
 
-// Logs an effect of the core; effects that are not traced match the last overload.
+// Logs an effect of the core. Effects that are not logged match the last overload.
 struct EffectTracer {
   void operator()(const StartAttempt& effect) const {
     LogTrace(LevelOf(effect), "attempt_started",
--- a/src/log/trace.h
+++ b/src/log/trace.h
@@ -1,6 +1,6 @@
-// Tracing: log lines of the core's events and effects (docs/trace.md), to be counted over many dispatchers by
-// tools/fleet_table. At level debug all of them; at level info each failure, retry, rejection and stop with
-// its reason. The log's rate limit for single requests applies.
+// Logs the core's events and effects (docs/trace.md). tools/fleet_table counts these lines over many
+// dispatchers. Level debug includes all of them; level info includes each failure, retry, rejection and stop,
+// with its reason. The lines count against LogBudget::kRequests.
 #ifndef ALDERSILL_SRC_LOG_TRACE_H_
 #define ALDERSILL_SRC_LOG_TRACE_H_
 
--- a/src/snmp/agent.cpp
+++ b/src/snmp/agent.cpp
@@ -26,14 +26,15 @@
 namespace aldersill::snmp {
 namespace {
 
-// Below netSnmpPlaypen, as the project has no enterprise number.
+// The root is below netSnmpPlaypen, because the project has no enterprise number.
 constexpr oid kRoot[] = {1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 7419};
 constexpr std::size_t kRootLength = OID_LENGTH(kRoot);
 constexpr char kAccess[] = "rocommunity public 127.0.0.0/8 .1.3.6.1.4.1.8072.9999.9999.7419";
 
-// Global, because the library's handlers get no pointer to the agent.
+// This is global, because the library's handlers get no pointer to the agent.
 std::function<ObjectMap()> get_objects;
 
+// Returns the part of the variable's object identifier below the root.
 ObjectId BelowRoot(const netsnmp_variable_list* var) {
   ObjectId id;
   for (std::size_t i = kRootLength; i < var->name_length; ++i)
@@ -64,7 +65,7 @@
     netsnmp_set_request_error(info, request, SNMP_NOSUCHINSTANCE);
 }
 
-// A request that is left untouched continues with the next MIB.
+// If no object follows, the request stays unchanged and the library continues with the next MIB.
 void HandleGetNext(const ObjectMap& objects, netsnmp_variable_list* var) {
   const bool is_before_root = snmp_oid_compare(var->name, var->name_length, kRoot, kRootLength) < 0;
   const auto next = is_before_root ? objects.begin() : objects.upper_bound(BelowRoot(var));
@@ -95,8 +96,8 @@
   return 0;
 }
 
-// Keeps the library from looking names up, and from reading or writing files of the machine: the paths lead
-// nowhere.
+// Keeps the library from looking up names and from reading or writing the machine's files, by pointing its
+// paths to /dev/null.
 void IsolateLibrary() {
   setenv("MIBS", "", 1);
   setenv("MIBDIRS", "/dev/null", 1);
@@ -107,7 +108,7 @@
                            NETSNMP_DS_LIB_DONT_LOAD_HOST_FILES})
     netsnmp_ds_set_boolean(NETSNMP_DS_LIBRARY_ID, option, 1);
   netsnmp_ds_set_boolean(NETSNMP_DS_APPLICATION_ID, NETSNMP_DS_AGENT_DONT_LOG_TCPWRAPPERS_CONNECTS, 1);
-  // The library consults TCP wrappers for each packet.
+  // The library checks the TCP wrappers' access files for each packet.
   static char no_file[] = "/dev/null";
   hosts_allow_table = no_file;
   hosts_deny_table = no_file;
@@ -127,7 +128,8 @@
     throw std::runtime_error("snmp: cannot register the MIB");
 }
 
-// Returns the socket, which the library owns.
+// Returns the socket, which the library owns. Throws std::runtime_error if the agent cannot listen, or if the
+// descriptor is too large for select().
 int ListenOnUdp(const Endpoint& listen) {
   netsnmp_ep endpoint{};
   endpoint.a.sin = ToSockaddr(listen);
--- a/src/snmp/agent.h
+++ b/src/snmp/agent.h
@@ -1,5 +1,5 @@
-// A read-only SNMP v2c agent for the core's counters (mibs/ALDERSILL-MIB.txt), on Net-SNMP's agent library
-// and the event loop. It neither reads nor writes configuration or state files of the machine.
+// A read-only SNMP v2c agent for the core's counters (mibs/ALDERSILL-MIB.txt), based on Net-SNMP's agent
+// library and the event loop. It neither reads nor writes the machine's configuration and state files.
 #ifndef ALDERSILL_SRC_SNMP_AGENT_H_
 #define ALDERSILL_SRC_SNMP_AGENT_H_
 
@@ -12,17 +12,17 @@
 
 namespace aldersill::snmp {
 
-// At most one in a process, as the library keeps global state.
+// A process can have at most one agent, because the library keeps global state.
 class Agent {
  public:
-  // `objects` returns the current objects and is called for each request. Throws std::runtime_error if it
-  // cannot listen.
+  // `objects` returns the current objects and is called for each request. Throws std::runtime_error if the
+  // agent cannot listen.
   Agent(event_base* base, const Endpoint& listen, std::function<ObjectMap()> objects);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  // The UDP port that is listened on.
+  // The UDP port on which the agent listens.
   int port() const { return port_; }
 
  private:
--- a/src/snmp/objects.cpp
+++ b/src/snmp/objects.cpp
@@ -13,14 +13,14 @@
 constexpr std::uint64_t kOutcomeTable = 3;
 constexpr std::uint64_t kRejectionTable = 7;
 constexpr std::uint64_t kEntry = 1;
-// Column 1 of each table is its index, which cannot be read.
+// Column 1 of each table is its index, which is not accessible.
 constexpr std::uint64_t kFirstColumn = 2;
 
-// By Outcome.
+// Indexed by Outcome.
 constexpr const char* kOutcomes[] = {"served",        "error", "full",      "timeout",
                                      "connectFailed", "lost",  "cancelled", "notSent"};
 
-// A Gauge32 stays at its maximum if the value exceeds it.
+// Limits the value to the maximum of a Gauge32.
 Gauge ToGauge(std::uint64_t value) {
   constexpr std::uint64_t max_gauge = std::numeric_limits<std::uint32_t>::max();
   return {static_cast<std::uint32_t>(std::min(value, max_gauge))};
@@ -59,7 +59,7 @@
     AddRow(kOutcomeTable, i + 1, {std::string(kOutcomes[i]), Counter{counters.attempts[i]}}, objects);
 }
 
-// Indexed by the HTTP status.
+// The table is indexed by HTTP status.
 void AddRejectionTable(const Counters& counters, ObjectMap* objects) {
   for (const auto& [status, count] : counters.rejected_by_frontend)
     AddRow(kRejectionTable, static_cast<std::uint64_t>(status), {Counter{count}}, objects);
--- a/src/snmp/objects.h
+++ b/src/snmp/objects.h
@@ -1,4 +1,5 @@
-// The objects of ALDERSILL-MIB: the core's counters by object identifier, independent of the SNMP library.
+// The objects of ALDERSILL-MIB, which are the core's counters by object identifier. Independent of the SNMP
+// library.
 #ifndef ALDERSILL_SRC_SNMP_OBJECTS_H_
 #define ALDERSILL_SRC_SNMP_OBJECTS_H_
 
@@ -12,24 +13,25 @@
 
 namespace aldersill::snmp {
 
-// Below the root of the MIB.
+// The part of an object identifier below the root of the MIB.
 using ObjectId = std::vector<std::uint64_t>;
 
-// Gauge32.
+// A Gauge32.
 struct Gauge {
   std::uint32_t value;
 };
 
-// Counter64.
+// A Counter64.
 struct Counter {
   std::uint64_t value;
 };
 
 using Value = std::variant<Gauge, Counter, std::string>;
 
-// Every object instance, in the order in which GETNEXT walks them.
+// All object instances, in the order in which GETNEXT visits them.
 using ObjectMap = std::map<ObjectId, Value>;
 
+// Returns the objects of the MIB for these counters.
 ObjectMap Objects(const Counters& counters);
 
 }  // namespace aldersill::snmp
--- a/tests/daemon/command_line_test.cpp
+++ b/tests/daemon/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The sub-commands that read configurations, run as a user runs them.
+// Tests the command line and the sub-commands that read configurations, by running the program.
 #include <doctest/doctest.h>
 #include <stdlib.h>
 #include <sys/wait.h>
@@ -15,7 +15,7 @@
 
 struct ProgramRun {
   int exit_status = -1;
-  std::string output;  // of both streams
+  std::string output;  // standard output and standard error
 };
 
 ProgramRun RunProgram(const std::string& arguments) {
@@ -30,7 +30,7 @@
   return run;
 }
 
-// Sets a variable of the environment for the programs started while it lives.
+// Sets an environment variable during its lifetime, for the programs that are started in that time.
 class ScopedVariable {
  public:
   ScopedVariable(const char* name, const std::string& value) : name_(name) { setenv(name, value.c_str(), 1); }
@@ -42,7 +42,7 @@
   const char* name_;
 };
 
-// A folder with a valid and an invalid operator's file.
+// A temporary directory with a valid and an invalid operator's file.
 class OperatorFiles {
  public:
   OperatorFiles() {
@@ -68,7 +68,7 @@
   std::filesystem::path folder_;
 };
 
-TEST_CASE("check-config tells the kind of each valid file") {
+TEST_CASE("check-config prints the kind of each valid file") {
   const OperatorFiles files;
   const std::string platform = std::string(ALDERSILL_EXCHANGES) + "/config.json";
   const ProgramRun run = RunProgram("check-config " + files.good() + " " + platform);
@@ -77,7 +77,7 @@
                           ": good, as the platform's configuration\n");
 }
 
-TEST_CASE("check-config fails with the error of an invalid file, or of one that cannot be read") {
+TEST_CASE("check-config fails with the error of an invalid or unreadable file") {
   const OperatorFiles files;
   const ProgramRun invalid = RunProgram("check-config " + files.good() + " " + files.bad());
   CHECK(invalid.exit_status == 1);
@@ -106,7 +106,7 @@
   CHECK(run.output.find("ALDERSILL_SETTINGS and ALDERSILL_FRONTS are both set") != std::string::npos);
 }
 
-TEST_CASE("--version and --help are answered, and an invalid command line ends with 2") {
+TEST_CASE("--version and --help succeed, and an invalid command line exits with 2") {
   const ProgramRun version = RunProgram("--version");
   CHECK(version.exit_status == 0);
   CHECK(version.output.starts_with("aldersill "));
@@ -117,7 +117,7 @@
   CHECK(RunProgram("check-config").exit_status == 2);
 }
 
-TEST_CASE("serve needs the platform's configuration") {
+TEST_CASE("serve requires the platform's configuration") {
   unsetenv("GW_CONFIG");
   const ProgramRun run = RunProgram("serve");
   CHECK(run.exit_status == 1);
--- a/tests/daemon/file_reader_test.cpp
+++ b/tests/daemon/file_reader_test.cpp
@@ -1,4 +1,4 @@
-// Files that cannot be read are told from files that are not there.
+// Tests that unreadable files are distinguished from missing files.
 #include "config/file_reader.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 namespace aldersill::tests {
 namespace {
 
-TEST_CASE("a file is read completely, up to its bound; one that cannot be read is an error with the reason") {
+TEST_CASE("a file is read completely up to the limit; an unreadable file is an error with the reason") {
   const TemporaryDirectory directory;
   const std::string path = directory.path() / "file";
   std::ofstream(path) << std::string(10'000, 'x');
@@ -23,7 +23,7 @@
   CHECK_THROWS_WITH_AS(ReadFile(path + ".none", "error", 1), "error", UnreadableFile);
 }
 
-TEST_CASE("a file that cannot be looked at is not missing") {
+TEST_CASE("a file whose status cannot be read is not missing") {
   const TemporaryDirectory directory;
   const std::filesystem::path loop = directory.path() / "loop";
   std::filesystem::create_symlink(loop, loop);
--- a/tests/daemon/json_log_test.cpp
+++ b/tests/daemon/json_log_test.cpp
@@ -1,4 +1,4 @@
-// The program's log as JSON.
+// Tests the program's log in JSON format.
 #include <doctest/doctest.h>
 
 #include <sstream>
--- a/tests/daemon/platform_file_test.cpp
+++ b/tests/daemon/platform_file_test.cpp
@@ -1,4 +1,4 @@
-// The platform's file: what is accepted, and the codes and paths of the errors.
+// Tests which platform files are accepted, and the codes and paths of the errors for the others.
 #include <doctest/doctest.h>
 #include <stdlib.h>
 #include <unistd.h>
@@ -15,7 +15,8 @@
 namespace aldersill::tests {
 namespace {
 
-// The error's code and its field's path, of this text as the platform's file.
+// Reads the text as the platform's file. Returns the code and field path of the error, or a line for each
+// unknown field.
 std::string PlatformTextError(const std::string& text) {
   std::string path = (std::filesystem::temp_directory_path() / "aldersill-XXXXXX").string();
   const int file = mkstemp(path.data());
@@ -24,11 +25,11 @@
   std::ofstream(path) << text;
   std::string error;
   try {
-    for (const std::string& field : ReadPlatformFile(path).unknown)
+    for (const std::string& field : ReadPlatformFile(path).unknown_fields)
       error += "unknown " + field + "\n";
-  } catch (const ConfigError& e) {
-    error = std::string(e.code()) + " " + e.path();
-    CHECK(std::string(e.what()).starts_with(e.path() + " "));
+  } catch (const ConfigError& config_error) {
+    error = std::string(config_error.code()) + " " + config_error.path();
+    CHECK(std::string(config_error.what()).starts_with(config_error.path() + " "));
   }
   std::filesystem::remove(path);
   return error;
@@ -36,7 +37,7 @@
 
 nlohmann::json PlatformFile() { return ReadJson(std::string(ALDERSILL_EXCHANGES) + "/config.json"); }
 
-// With this value in place of its own.
+// Returns PlatformTextError for the platform's file with the value at `pointer` replaced.
 std::string PlatformError(const char* pointer, const nlohmann::json& value) {
   nlohmann::json config = PlatformFile();
   config[nlohmann::json::json_pointer(pointer)] = value;
@@ -54,7 +55,7 @@
   CHECK(PlatformError("/settings/weights", "heavy") == "bad_value settings.weights");
 }
 
-TEST_CASE("the platform may add fields and leave out others") {
+TEST_CASE("added fields and absent optional fields are accepted") {
   CHECK(PlatformError("/settings/grades/1/worht", 3) == "unknown settings.grades[].worht (worth?)\n");
   CHECK(PlatformError("/settings/novelty", {{"of", 1}}) == "unknown settings.novelty\n");
   for (const char* field :
@@ -69,7 +70,8 @@
   CHECK(PlatformError("/peer_listen", "127.0.0.1:1") == "");
 }
 
-TEST_CASE("a class that lacks its name, effect, deadline, aim or window is refused with the field's name") {
+TEST_CASE(
+    "a class without its name, repeat, deadline, target or dedupWindow is rejected with the field's path") {
   for (const char* field : {"name", "repeat", "deadline", "target"}) {
     CAPTURE(field);
     for (const int i : {0, 1, 2}) {
@@ -78,16 +80,16 @@
             "missing_field settings.grades[" + std::to_string(i) + "]." + field);
     }
   }
-  // Only a class with keys has a window.
+  // Only a class with idempotency keys needs a window.
   CHECK(PlatformError("/settings/grades/1/dedupWindow", nullptr) ==
         "missing_field settings.grades[1].dedupWindow");
   CHECK(PlatformError("/settings/grades/0/dedupWindow", nullptr) == "");
   CHECK(PlatformError("/settings/grades/2/dedupWindow", nullptr) == "");
 }
 
-TEST_CASE("a number out of its range is refused with the field's name") {
+TEST_CASE("a number out of its range is rejected with the field's path") {
   const nlohmann::json kNegative = -1, kZero = 0, kHuge = 1e300, kText = "NaN";
-  const auto refused = [](const std::string& pointer, const std::vector<nlohmann::json>& values) {
+  const auto check_rejected = [](const std::string& pointer, const std::vector<nlohmann::json>& values) {
     std::string path;
     for (const char c : pointer.substr(1))
       path += c == '/' ? '.' : c;
@@ -105,33 +107,34 @@
   for (const char* positive :
        {"/settings/grades/0/target", "/settings/grades/0/deadline", "/settings/grades/1/dedupWindow",
         "/settings/rules/mustAskIn", "/settings/rules/fall", "/settings/limits/dialTimeout"})
-    refused(positive, {kNegative, kZero, kHuge, kText, 0.4, true});
-  refused("/settings/rules/overloadFactor", {kNegative, kZero, kText});
+    check_rejected(positive, {kNegative, kZero, kHuge, kText, 0.4, true});
+  check_rejected("/settings/rules/overloadFactor", {kNegative, kZero, kText});
   for (const char* not_negative :
        {"/settings/grades/0/worth", "/settings/tenants/0/share", "/settings/tenants/1/quotaPerS",
         "/settings/prices/crossZone", "/settings/prices/probe"})
-    refused(not_negative, {kNegative, kText});
+    check_rejected(not_negative, {kNegative, kText});
   for (const char* time :
        {"/settings/grades/0/dedupWindow", "/settings/rules/answerSlack", "/settings/rules/drainGrace",
         "/settings/rules/warmAfter", "/settings/limits/maxRetryAfter", "/settings/familyInfo/progress"})
-    refused(time, {kNegative, kHuge, kText});
+    check_rejected(time, {kNegative, kHuge, kText});
   for (const char* fraction :
        {"/settings/grades/0/lateValue", "/settings/rules/coldShare", "/settings/overShareWorth"})
-    refused(fraction, {kNegative, 1.01, kText});
+    check_rejected(fraction, {kNegative, 1.01, kText});
   for (const char* count : {"/settings/peersTotal", "/settings/limits/maxAttempts"})
-    refused(count, {kNegative, kZero, 3e9, kText});
-  refused("/limits/sockets", {kNegative, kZero, 63, 3e9});
-  refused("/limits/memory_mb", {kNegative, kZero, 15, 3e9});
-  refused("/settings/familyInfo/classKind/0", {-2, 2, 3e9});
-  refused("/settings/familyInfo/classStretch/1", {kNegative, kText});
-  refused("/settings/familyInfo/classPriority/2", {3e9, kText});
+    check_rejected(count, {kNegative, kZero, 3e9, kText});
+  check_rejected("/limits/sockets", {kNegative, kZero, 63, 3e9});
+  check_rejected("/limits/memory_mb", {kNegative, kZero, 15, 3e9});
+  check_rejected("/settings/familyInfo/classKind/0", {-2, 2, 3e9});
+  check_rejected("/settings/familyInfo/classStretch/1", {kNegative, kText});
+  check_rejected("/settings/familyInfo/classPriority/2", {3e9, kText});
   CHECK(PlatformError("/settings/grades/1/aimStretch", -1) == "bad_value settings.grades[1].aimStretch");
   CHECK(
       PlatformError("/settings/tenants", {{{"name", "a"}, {"share", 0}}, {{"name", "b"}, {"share", 0.0}}}) ==
       "bad_value settings.tenants");
-  // Of two classes with one name nobody can tell which holds.
+  // Two classes with the same name are ambiguous.
   CHECK(PlatformError("/settings/grades/2/name", "certificado") == "bad_value settings.grades[2].name");
-  // What no number can hold is no number any more when it is read: the name is told without its path.
+  // The JSON parser already rejects a number that a double cannot hold, so the error has only the field's
+  // name and not its path.
   std::string text = PlatformFile().dump();
   const std::string deadline = "\"deadline\":25000000";
   REQUIRE(text.find(deadline) != std::string::npos);
@@ -139,7 +142,7 @@
   CHECK(PlatformTextError(text) == "bad_value deadline");
 }
 
-TEST_CASE("any number that keeps the rules is taken, down to short deadlines and windows") {
+TEST_CASE("any number in its range is accepted, including zero and very short deadlines and windows") {
   for (const char* zero :
        {"/settings/grades/0/dedupWindow", "/settings/grades/0/worth", "/settings/grades/1/lateValue",
         "/settings/rules/answerSlack", "/settings/rules/drainGrace", "/settings/rules/coldShare",
@@ -151,11 +154,11 @@
   }
   CHECK(PlatformError("/settings/grades/1/dedupWindow", 1) == "");
   CHECK(PlatformError("/settings/grades/1/deadline", 300000) == "");
-  CHECK(PlatformError("/settings/grades/1/target", 20000000) == "");  // beyond the deadline
+  CHECK(PlatformError("/settings/grades/1/target", 20000000) == "");  // longer than the deadline
   CHECK(PlatformError("/settings/limits/maxAttempts", 1) == "");
   CHECK(PlatformError("/settings/peersTotal", 300) == "");
   CHECK(PlatformError("/settings/limits/dialTimeout", 1) == "");
-  // Classes that nobody has heard of, of any number.
+  // Any number of additional classes is accepted.
   nlohmann::json config = PlatformFile();
   const nlohmann::json keyed = config["settings"]["grades"][1];
   for (int i = 0; i < 40; ++i) {
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: what is accepted, and the errors of what is rejected.
+// Tests which operator's files are accepted, and the errors for those that are rejected.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,7 +10,7 @@
 namespace aldersill::tests {
 namespace {
 
-// The error of this text as the operator's file "f"; empty if there is none.
+// Returns the error for this text as an operator's file named "f"; empty if the text is valid.
 std::string ErrorOf(const std::string& text) {
   try {
     ParseOperatorText(text, "f");
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("a bad value is rejected with file, line, path and what is accepted") {
+TEST_CASE("a bad value is rejected with file, line, path and the accepted values") {
   CheckErrors({
       {"faktory:\n  enabled: perhaps\n", "f:2: faktory.enabled must be true or false"},
       {"logging:\n  level: warn\n",
@@ -48,7 +48,7 @@
   });
 }
 
-TEST_CASE("an unknown field is rejected with the nearest known name and all that are accepted") {
+TEST_CASE("an unknown field is rejected with the most similar name and all accepted names") {
   CheckErrors({
       {"faktory:\n  enabled: true\n  listne: 127.0.0.1:1\n",
        "f:3: faktory.listne is unknown: did you mean 'listen'? Accepted: enabled, fetch_patience_ms, "
@@ -60,7 +60,7 @@
   });
 }
 
-TEST_CASE("fields that contradict each other are rejected at the one to change") {
+TEST_CASE("the error for contradictory fields names the field to change") {
   CheckErrors({
       {"membership:\n  enabled: true\n", "f:2: membership.key_file is missing: membership needs a key"},
       {"membership:\n  listen: 0.0.0.0:1\n",
@@ -75,7 +75,7 @@
   });
 }
 
-TEST_CASE("a section that is no map, or has a field twice, is rejected") {
+TEST_CASE("a section that is not a map or has a field twice is rejected") {
   CheckErrors({
       {"faktory: 3\n", "f:1: faktory must be a map of fields"},
       {"- a\n", "f:1: the file must be a map of fields"},
@@ -89,7 +89,7 @@
   CHECK(ErrorOf("a: \"\n").find('\n') == std::string::npos);
 }
 
-TEST_CASE("missing fields, unknown fields and bad values have error types of their own") {
+TEST_CASE("missing fields, unknown fields and bad values have separate error types") {
   CHECK_THROWS_AS(ParseOperatorText("membership: {enabled: true}", "f"), MissingField);
   CHECK_THROWS_AS(ParseOperatorText("snmp: {prot: 1}", "f"), UnknownField);
   CHECK_THROWS_AS(ParseOperatorText("logging: {format: xml}", "f"), BadValue);
@@ -100,16 +100,16 @@
   CHECK(ErrorOf("faktory:\nsnmp:\n") == "");
 }
 
-TEST_CASE("JSON is read as YAML, and fields that are left out have their defaults") {
+TEST_CASE("JSON is read as YAML, and absent fields have their defaults") {
   const OperatorSettings settings = ParseOperatorText(
       R"({"faktory": {"enabled": true, "fetch_wait_ms": 50}, "logging": {"format": "json"}})", "f");
   CHECK(settings.faktory.enabled);
   CHECK(settings.faktory.fetch_wait == 50 * kMillisecond);
-  CHECK(settings.faktory.worker_silence == 60 * kSecond);
+  CHECK(settings.faktory.worker_heartbeat_timeout == 60 * kSecond);
   CHECK(settings.logging.format == LogSettings::Format::kJson);
 }
 
-TEST_CASE("printed settings read back to the same settings") {
+TEST_CASE("printed settings parse to the same settings") {
   const OperatorSettings settings = ParseOperatorText(
       R"({"faktory": {"enabled": true, "fetch_wait_ms": 50}, "logging": {"format": "json"}})", "f");
   const std::string printed = PrintOperatorSettings(settings);
--- a/tests/daemon/snmp_test.cpp
+++ b/tests/daemon/snmp_test.cpp
@@ -1,4 +1,4 @@
-// The SNMP agent of the started program, queried over UDP.
+// Tests the SNMP agent of the running program with queries over UDP.
 #include <doctest/doctest.h>
 
 #include <sstream>
@@ -12,7 +12,7 @@
 namespace aldersill::tests {
 namespace {
 
-// Objects of the MIB, below its root. Class 3 is cobro, outcome 1 is served.
+// Object identifiers below the root of the MIB. Class 3 is cobro, outcome 1 is served.
 constexpr char kOpenRequests[] = "1.1.0";
 constexpr char kReadyWorkers[] = "1.3.0";
 constexpr char kLastScalar[] = "1.8.0";
@@ -28,7 +28,7 @@
 
 std::string Id(const std::string& below_root) { return std::string(tools::kAldersillMib) + "." + below_root; }
 
-// The program with SNMP and Faktory on, without discovery.
+// Runs the program with SNMP and Faktory enabled and without discovery.
 class SnmpFixture {
  public:
   SnmpFixture()
@@ -45,7 +45,7 @@
   tools::SnmpProbe& probe() { return probe_; }
   DaemonUnderTest& daemon() { return daemon_; }
 
-  // Ends the program, which must not have logged anything around Log().
+  // Stops the program and checks that every line of its output was written by Log().
   void End() {
     daemon_.Signal(SIGTERM);
     CHECK(daemon_.WaitForExit() == 0);
@@ -67,7 +67,7 @@
   tools::SnmpProbe probe_;
 };
 
-TEST_CASE("a job is counted while it is open, and once it is served") {
+TEST_CASE("a job is counted while it is open and after it is served") {
   SnmpFixture fixture;
   CHECK(fixture.Get(kCobroReceived) == "0");
 
@@ -92,7 +92,7 @@
   fixture.End();
 }
 
-TEST_CASE("a request that a frontend rejects is counted by its status, and in no class") {
+TEST_CASE("a request that a frontend rejects is counted by status and not in a class") {
   SnmpFixture fixture;
   CHECK(tools::Player({{"http", fixture.Port("http")}})
             .Play("connect h http\nsend h\n| PUT /cobro HTTP/1.1\n|\n"
@@ -103,7 +103,7 @@
   fixture.End();
 }
 
-TEST_CASE("GETNEXT walks every object once, from before the root and from gaps as well") {
+TEST_CASE("GETNEXT visits every object once, and also starts from before the root and from gaps") {
   SnmpFixture fixture;
   CHECK(fixture.probe().Walk(tools::kAldersillMib).size() == 8 + 3 * 7 + 8 * 2 + 6);
   CHECK(fixture.GetNext("1.3.6.1.4.1.8072.9999.9999.7418") == Id(kOpenRequests));
@@ -113,7 +113,7 @@
   fixture.End();
 }
 
-TEST_CASE("nothing can be written, and no other MIB or community be read") {
+TEST_CASE("writes, other MIBs and other communities are rejected") {
   SnmpFixture fixture;
   CHECK(fixture.probe().Set(Id(kOpenRequests), 7)->value != "7");
   CHECK(fixture.Get(kOpenRequests) == "0");
