--- a/src/budgets/quota_allocator.h
+++ b/src/budgets/quota_allocator.h
@@ -35,7 +35,7 @@
 struct QuotaRequestReceived {
   std::string from;
   QuotaRequest request;
-  // The term that the lease holds at the time of the request (duties::Lease::Holds). The allocator's own
+  // The term that the lease holds at the time of the request (duties::Lease::HeldTerm). The allocator's own
   // state is no proof: this process may have been stopped past the end of its lease.
   std::optional<std::uint64_t> held_term;
 };
